--- a/src/egretlatch/peer/frame_reader.cpp
+++ b/src/egretlatch/peer/frame_reader.cpp
@@ -12,7 +12,7 @@
 
 } // namespace internal
 
-QByteArray frameOf(const std::string_view message)
+QByteArray encodeFrame(const std::string_view message)
 {
     QByteArray frame;
     frame.reserve(internal::lengthSize + static_cast<qsizetype>(message.size()));
@@ -25,27 +25,27 @@
 void FrameReader::add(const QByteArray &bytes)
 {
     // What was read is dropped here, once for all frames of the bytes before.
-    m_held.remove(0, m_read);
-    m_read = 0;
-    m_held.append(bytes);
+    m_buffer.remove(0, m_readOffset);
+    m_readOffset = 0;
+    m_buffer.append(bytes);
 }
 
 std::optional<QByteArray> FrameReader::next()
 {
-    const qsizetype left = m_held.size() - m_read;
-    if (m_isBroken || left < internal::lengthSize) {
+    const qsizetype available = m_buffer.size() - m_readOffset;
+    if (m_isMalformed || available < internal::lengthSize) {
         return std::nullopt;
     }
-    const auto length = static_cast<qsizetype>(qFromBigEndian<quint32>(m_held.constData() + m_read));
-    if (length > largestFrame) {
-        m_isBroken = true;
+    const auto length = static_cast<qsizetype>(qFromBigEndian<quint32>(m_buffer.constData() + m_readOffset));
+    if (length > maxFrameBytes) {
+        m_isMalformed = true;
         return std::nullopt;
     }
-    if (left < internal::lengthSize + length) {
+    if (available < internal::lengthSize + length) {
         return std::nullopt;
     }
-    QByteArray message = m_held.mid(m_read + internal::lengthSize, length);
-    m_read += internal::lengthSize + length;
+    QByteArray message = m_buffer.mid(m_readOffset + internal::lengthSize, length);
+    m_readOffset += internal::lengthSize + length;
     return message;
 }
 
--- a/src/egretlatch/peer/frame_reader.hpp
+++ b/src/egretlatch/peer/frame_reader.hpp
@@ -10,14 +10,14 @@
 {
 
 /*! @brief Bytes of a message that a frame may hold; beyond it the other side does not speak our protocol. */
-constexpr qsizetype largestFrame = qsizetype{80} * 1024 * 1024;
+constexpr qsizetype maxFrameBytes = qsizetype{80} * 1024 * 1024;
 
 /**
  * @brief Puts a message in a frame: four bytes of length, the highest first, and the message.
  * @param message Bytes of the message; empty for a frame that only says that its sender lives.
  * @return Bytes of the frame.
  */
-[[nodiscard]] QByteArray frameOf(std::string_view message);
+[[nodiscard]] QByteArray encodeFrame(std::string_view message);
 
 /*! @brief Finds the frames in a stream of bytes. */
 class FrameReader
@@ -36,15 +36,15 @@
     [[nodiscard]] std::optional<QByteArray> next();
 
     /*! @brief Whether a length came that no frame has; nothing that follows can be told apart. */
-    [[nodiscard]] bool isBroken() const noexcept
+    [[nodiscard]] bool isMalformed() const noexcept
     {
-        return m_isBroken;
+        return m_isMalformed;
     }
 
 private:
-    QByteArray m_held;
-    qsizetype m_read{};
-    bool m_isBroken{};
+    QByteArray m_buffer;
+    qsizetype m_readOffset{};
+    bool m_isMalformed{};
 };
 
 } // namespace egretlatch::peer
--- a/src/egretlatch/peer/fwd.hpp
+++ b/src/egretlatch/peer/fwd.hpp
@@ -7,18 +7,18 @@
 enum class LinkState;
 struct EndedLink;
 struct LinkOptions;
+struct PendingMessage;
 struct SocketSource;
-struct WaitingMessage;
 
 class FrameReader;
 class GossipTraffic;
+class InboundConnection;
 class LinkTable;
 class PeerAuthenticator;
 class PeerExchange;
 class PeerLink;
 class SocketWatch;
 class StreamExchange;
-class StreamInlet;
 class StreamLink;
 
 } // namespace egretlatch::peer
--- a/src/egretlatch/peer/gossip_traffic.cpp
+++ b/src/egretlatch/peer/gossip_traffic.cpp
@@ -8,7 +8,7 @@
 {
 }
 
-void GossipTraffic::noteSent(const protocol::Message &message, const std::size_t bytes)
+void GossipTraffic::countSent(const protocol::Message &message, const std::size_t bytes)
 {
     if (!std::holds_alternative<protocol::Gossip>(message)) {
         return;
--- a/src/egretlatch/peer/gossip_traffic.hpp
+++ b/src/egretlatch/peer/gossip_traffic.hpp
@@ -24,7 +24,7 @@
      * @param message The message.
      * @param bytes Its size.
      */
-    void noteSent(const protocol::Message &message, std::size_t bytes);
+    void countSent(const protocol::Message &message, std::size_t bytes);
 
 private:
     account::MetricsSink &m_metrics;
--- a/src/egretlatch/peer/stream_inlet.hpp
+++ b/src/egretlatch/peer/inbound_connection.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_PEER_STREAM_INLET_HPP
-#define EGRETLATCH_PEER_STREAM_INLET_HPP
+#ifndef EGRETLATCH_PEER_INBOUND_CONNECTION_HPP
+#define EGRETLATCH_PEER_INBOUND_CONNECTION_HPP
 
 #include <cstdint>
 
@@ -10,30 +10,30 @@
 namespace egretlatch::peer
 {
 
-class StreamInlet;
+class InboundConnection;
 
 /*! @brief Takes what happens on a connection that another daemon opened. */
-class StreamInletListener
+class InboundConnectionListener
 {
 public:
-    virtual ~StreamInletListener() = default;
+    virtual ~InboundConnectionListener() = default;
 
     /**
      * @brief A message came.
      * @param inlet The connection.
      * @param message Its bytes.
      */
-    virtual void onMessage(StreamInlet &inlet, const QByteArray &message) = 0;
+    virtual void onMessage(InboundConnection &connection, const QByteArray &message) = 0;
 
     /**
      * @brief The connection ended; may destroy it.
      * @param inlet The connection.
      */
-    virtual void onInletEnded(StreamInlet &inlet) = 0;
+    virtual void onInboundConnectionEnded(InboundConnection &connection) = 0;
 };
 
 /*! @brief One connection that another daemon opened: its requests come in by it, and their answers go back by it. */
-class StreamInlet final : private net::StreamListener
+class InboundConnection final : private net::StreamListener
 {
 public:
     /**
@@ -43,7 +43,7 @@
      * @param descriptor Its socket.
      * @param number Unique among the inlets of an exchange.
      */
-    StreamInlet(net::Poller &poller, StreamInletListener &listener, int descriptor, std::uint64_t number);
+    InboundConnection(net::Poller &poller, InboundConnectionListener &listener, int descriptor, std::uint64_t number);
 
     /**
      * @brief Sends a message.
@@ -62,7 +62,7 @@
      * @param now Current time.
      * @return True if it is broken, or nothing came for longer than any daemon keeps an unused link.
      */
-    [[nodiscard]] bool isOver(SteadyTime now) const noexcept;
+    [[nodiscard]] bool isExpired(SteadyTime now) const noexcept;
 
     /**
      * @brief Notes that something came.
@@ -78,7 +78,7 @@
     void onBytes(const QByteArray &bytes) override;
     void onEnd(net::StreamEnd end) override;
 
-    StreamInletListener &m_listener;
+    InboundConnectionListener &m_listener;
     std::uint64_t m_number;
     net::TcpStream m_stream;
     FrameReader m_frames;
--- a/src/egretlatch/peer/link_table.cpp
+++ b/src/egretlatch/peer/link_table.cpp
@@ -6,8 +6,8 @@
 namespace internal
 {
 
-constexpr std::size_t mostLinks = 128;
-constexpr std::size_t mostKnownKeys = 4096;
+constexpr std::size_t maxLinks = 128;
+constexpr std::size_t maxKnownKeyIndexes = 4096;
 
 } // namespace internal
 
@@ -30,10 +30,10 @@
     }
     if (found != m_links.end()) {
         // The VM was replaced and its daemon has another address now; nothing will come from the old one.
-        end(daemon, *found->second, true);
+        recordEnded(daemon, *found->second, true);
         m_links.erase(found);
     }
-    if (m_links.size() >= internal::mostLinks && !makeRoom()) {
+    if (m_links.size() >= internal::maxLinks && !evictLeastRecentlyUsed()) {
         return nullptr;
     }
     std::unique_ptr<PeerLink> link = open(daemon, endpoint);
@@ -52,7 +52,7 @@
         }
         if (hasEnded || link.isIdle(now)) {
             if (hasEnded || link.hasUnanswered()) {
-                end(item->first, link, state != LinkState::failed);
+                recordEnded(item->first, link, state != LinkState::failed);
             }
             item = m_links.erase(item);
             continue;
@@ -72,8 +72,8 @@
 {
     LinkOptions options{.daemon = daemon, .endpoint = endpoint, .routingId = m_routingId, .keys = m_keys, .serverKey = {}};
     if (m_keys.has_value()) {
-        const auto known = m_keyOf.find(endpoint);
-        options.serverKey = m_keys->accepted[known == m_keyOf.end() ? 0 : known->second % m_keys->accepted.size()];
+        const auto knownIndex = m_keyIndexes.find(endpoint);
+        options.serverKey = m_keys->accepted[knownIndex == m_keyIndexes.end() ? 0 : knownIndex->second % m_keys->accepted.size()];
     }
     try {
         return std::make_unique<PeerLink>(m_context, m_watch, std::move(options), ++m_lastNumber);
@@ -82,7 +82,7 @@
     }
 }
 
-bool LinkTable::makeRoom()
+bool LinkTable::evictLeastRecentlyUsed()
 {
     auto oldest = m_links.end();
     for (auto item = m_links.begin(); item != m_links.end(); ++item) {
@@ -94,7 +94,7 @@
     if (oldest == m_links.end()) {
         return false;
     }
-    end(oldest->first, *oldest->second, false);
+    recordEnded(oldest->first, *oldest->second, false);
     m_links.erase(oldest);
     return true;
 }
@@ -107,11 +107,11 @@
     if (!m_keys.has_value() || m_keys->accepted.size() < 2) {
         return false;
     }
-    if (m_keyOf.size() >= internal::mostKnownKeys) {
-        m_keyOf.clear();
+    if (m_keyIndexes.size() >= internal::maxKnownKeyIndexes) {
+        m_keyIndexes.clear();
     }
-    const std::size_t next = (m_keyOf[failed.options().endpoint] + 1) % m_keys->accepted.size();
-    m_keyOf[failed.options().endpoint] = next;
+    const std::size_t next = (m_keyIndexes[failed.options().endpoint] + 1) % m_keys->accepted.size();
+    m_keyIndexes[failed.options().endpoint] = next;
     if (next == 0) {
         return false;
     }
@@ -119,16 +119,16 @@
     if (link == nullptr) {
         return false;
     }
-    for (WaitingMessage &message : failed.takeWaiting()) {
+    for (PendingMessage &message : failed.takeUnsent()) {
         static_cast<void>(link->send(std::move(message), now));
     }
     m_links[daemon] = std::move(link);
     return true;
 }
 
-void LinkTable::end(const DaemonId &daemon, PeerLink &link, const bool wasOpen)
+void LinkTable::recordEnded(const DaemonId &daemon, PeerLink &link, const bool wasOpen)
 {
-    m_ended.push_back({.daemon = daemon, .wasOpen = wasOpen, .waiting = link.takeWaiting()});
+    m_ended.push_back({.daemon = daemon, .wasOpen = wasOpen, .unsent = link.takeUnsent()});
 }
 
 } // namespace egretlatch::peer
--- a/src/egretlatch/peer/link_table.hpp
+++ b/src/egretlatch/peer/link_table.hpp
@@ -24,7 +24,7 @@
     DaemonId daemon;
     /*! @brief Whether messages may have left by it that are not answered. */
     bool wasOpen{};
-    std::deque<WaitingMessage> waiting;
+    std::deque<PendingMessage> unsent;
 };
 
 /**
@@ -71,9 +71,9 @@
 
 private:
     [[nodiscard]] std::unique_ptr<PeerLink> open(const DaemonId &daemon, const std::string &endpoint);
-    [[nodiscard]] bool makeRoom();
+    [[nodiscard]] bool evictLeastRecentlyUsed();
     [[nodiscard]] bool reopen(const DaemonId &daemon, PeerLink &failed, SteadyTime now);
-    void end(const DaemonId &daemon, PeerLink &link, bool wasOpen);
+    void recordEnded(const DaemonId &daemon, PeerLink &link, bool wasOpen);
 
     zmq::context_t &m_context;
     SocketWatch &m_watch;
@@ -81,7 +81,7 @@
     std::optional<settings::PeerKeys> m_keys;
     std::map<DaemonId, std::unique_ptr<PeerLink>> m_links;
     /*! @brief Which of the accepted keys an endpoint had last, where it is not the first. */
-    std::map<std::string, std::size_t> m_keyOf;
+    std::map<std::string, std::size_t> m_keyIndexes;
     std::vector<EndedLink> m_ended;
     std::uint64_t m_lastNumber{};
 };
--- a/src/egretlatch/peer/message_rules.cpp
+++ b/src/egretlatch/peer/message_rules.cpp
@@ -6,7 +6,7 @@
 namespace egretlatch::peer
 {
 
-std::optional<Incarnation> askerOf(const protocol::Message &message)
+std::optional<Incarnation> requesterIncarnation(const protocol::Message &message)
 {
     if (const auto *const answer = std::get_if<protocol::CallAnswer>(&message)) {
         return answer->receiver;
@@ -16,7 +16,7 @@
     return isReply ? std::optional{gossip->receiver} : std::nullopt;
 }
 
-Result<protocol::Envelope> decodeCounted(const std::string_view bytes, account::MetricsSink &metrics)
+Result<protocol::Envelope> decodeAndCountFailure(const std::string_view bytes, account::MetricsSink &metrics)
 {
     Result<protocol::Envelope> envelope = protocol::decode(bytes);
     if (!envelope.has_value()) {
--- a/src/egretlatch/peer/message_rules.hpp
+++ b/src/egretlatch/peer/message_rules.hpp
@@ -17,7 +17,7 @@
  * @param message The message.
  * @return The life of the daemon that asked; nothing for a message that goes out by a link.
  */
-[[nodiscard]] std::optional<Incarnation> askerOf(const protocol::Message &message);
+[[nodiscard]] std::optional<Incarnation> requesterIncarnation(const protocol::Message &message);
 
 /**
  * @brief Reads a message, and counts one that cannot be read as dropped.
@@ -25,7 +25,7 @@
  * @param metrics Takes the count.
  * @return The message with its sender, or why there is none.
  */
-[[nodiscard]] Result<protocol::Envelope> decodeCounted(std::string_view bytes, account::MetricsSink &metrics);
+[[nodiscard]] Result<protocol::Envelope> decodeAndCountFailure(std::string_view bytes, account::MetricsSink &metrics);
 
 } // namespace egretlatch::peer
 
--- a/src/egretlatch/peer/peer_authenticator.cpp
+++ b/src/egretlatch/peer/peer_authenticator.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t keySize = 32;
 constexpr std::size_t keyTextSize = 41;
 
-[[nodiscard]] static std::string toText(const std::string &key)
+[[nodiscard]] static std::string toZ85(const std::string &key)
 {
     std::array<char, keyTextSize> text{};
     if (key.size() != keySize || zmq_z85_encode(text.data(), reinterpret_cast<const std::uint8_t *>(key.data()), key.size()) == nullptr) {
@@ -26,8 +26,8 @@
 
 } // namespace internal
 
-PeerAuthenticator::PeerAuthenticator(zmq::context_t &context, const std::vector<std::string> &accepted, account::MetricsSink &metrics)
-    : m_accepted{accepted.begin(), accepted.end()}
+PeerAuthenticator::PeerAuthenticator(zmq::context_t &context, const std::vector<std::string> &acceptedKeys, account::MetricsSink &metrics)
+    : m_acceptedKeys{acceptedKeys.begin(), acceptedKeys.end()}
     , m_metrics{metrics}
     , m_socket{context, zmq::socket_type::rep}
 {
@@ -46,14 +46,14 @@
 void PeerAuthenticator::run()
 {
     try {
-        while (answerNext()) { }
+        while (answerNextRequest()) { }
     } catch (const zmq::error_t &) {
         // The context was shut down.
     }
     m_socket.close();
 }
 
-bool PeerAuthenticator::answerNext()
+bool PeerAuthenticator::answerNextRequest()
 {
     std::vector<std::string> frames;
     bool hasMore = true;
@@ -65,12 +65,12 @@
         frames.push_back(frame.to_string());
         hasMore = frame.more();
     }
-    const bool isWhole = frames.size() > internal::keyFrame;
-    const bool isAccepted = isWhole && frames[internal::mechanismFrame] == "CURVE" && m_accepted.contains(internal::toText(frames[internal::keyFrame]));
+    const bool isComplete = frames.size() > internal::keyFrame;
+    const bool isAccepted = isComplete && frames[internal::mechanismFrame] == "CURVE" && m_acceptedKeys.contains(internal::toZ85(frames[internal::keyFrame]));
     if (!isAccepted) {
         m_metrics.count("connections_refused", "unknown-key");
     }
-    const std::string requestId = isWhole ? frames[internal::requestIdFrame] : std::string{};
+    const std::string requestId = isComplete ? frames[internal::requestIdFrame] : std::string{};
     const std::array<std::string, 6> answer{"1.0", requestId, isAccepted ? "200" : "400", isAccepted ? "" : "unknown key", "", ""};
     for (std::size_t index = 0; index < answer.size(); ++index) {
         const bool isLast = index + 1 == answer.size();
--- a/src/egretlatch/peer/peer_authenticator.hpp
+++ b/src/egretlatch/peer/peer_authenticator.hpp
@@ -28,7 +28,7 @@
      * @param metrics Takes counts of refused connections; must outlive this object.
      * @throws zmq::error_t If the context already has one.
      */
-    PeerAuthenticator(zmq::context_t &context, const std::vector<std::string> &accepted, account::MetricsSink &metrics);
+    PeerAuthenticator(zmq::context_t &context, const std::vector<std::string> &acceptedKeys, account::MetricsSink &metrics);
     PeerAuthenticator(const PeerAuthenticator &) = delete;
     PeerAuthenticator &operator=(const PeerAuthenticator &) = delete;
 
@@ -37,9 +37,9 @@
 
 private:
     void run();
-    [[nodiscard]] bool answerNext();
+    [[nodiscard]] bool answerNextRequest();
 
-    std::set<std::string> m_accepted;
+    std::set<std::string> m_acceptedKeys;
     account::MetricsSink &m_metrics;
     zmq::socket_t m_socket;
     std::thread m_thread;
--- a/src/egretlatch/peer/peer_exchange.cpp
+++ b/src/egretlatch/peer/peer_exchange.cpp
@@ -14,16 +14,16 @@
 {
 
 constexpr int receiveBatch = 64;
-constexpr std::chrono::milliseconds sweepInterval{1000};
+constexpr std::chrono::milliseconds linkUpdateInterval{1000};
 constexpr const char *routerMonitorEndpoint = "inproc://router-monitor";
-constexpr int refusalEvents = ZMQ_EVENT_HANDSHAKE_FAILED_NO_DETAIL | ZMQ_EVENT_HANDSHAKE_FAILED_PROTOCOL;
+constexpr int handshakeFailureEvents = ZMQ_EVENT_HANDSHAKE_FAILED_NO_DETAIL | ZMQ_EVENT_HANDSHAKE_FAILED_PROTOCOL;
 
 [[nodiscard]] static std::string routingId(const DaemonId &daemon, const Incarnation incarnation)
 {
     return fmt::format("{}/{:x}", daemon.value, incarnation.value);
 }
 
-static void dropRest(zmq::socket_t &socket, bool hasMore)
+static void discardRemainingParts(zmq::socket_t &socket, bool hasMore)
 {
     while (hasMore) {
         zmq::message_t rest;
@@ -35,13 +35,13 @@
 } // namespace internal
 
 PeerExchange::PeerExchange(
-    DaemonId self, const Incarnation incarnation, std::optional<settings::PeerKeys> keys, Receiver receiver, account::MetricsSink &metrics)
+    DaemonId self, const Incarnation incarnation, std::optional<settings::PeerKeys> keys, EventCallback callback, account::MetricsSink &metrics)
     : m_self{std::move(self)}
     , m_incarnation{incarnation}
     , m_keys{std::move(keys)}
-    , m_receiver{std::move(receiver)}
+    , m_callback{std::move(callback)}
     , m_metrics{metrics}
-    , m_gossip{metrics}
+    , m_gossipTraffic{metrics}
     , m_router{m_context, zmq::socket_type::router}
     , m_routerMonitor{m_context, zmq::socket_type::pair}
     , m_links{m_context, m_watch, internal::routingId(m_self, incarnation), m_keys}
@@ -56,7 +56,7 @@
 
 Result<void> PeerExchange::start(const std::string &endpoint)
 {
-    prepareSocket(m_router);
+    setCommonOptions(m_router);
     m_router.set(zmq::sockopt::router_mandatory, 1);
     // A daemon whose connection broke comes back under the same routing id before the old connection is known to be
     // dead; without the handover its messages would be dropped until then.
@@ -67,7 +67,7 @@
         m_router.set(zmq::sockopt::curve_server, 1);
         m_router.set(zmq::sockopt::curve_secretkey, m_keys->secretKey);
     }
-    zmq_socket_monitor(m_router.handle(), internal::routerMonitorEndpoint, internal::refusalEvents);
+    zmq_socket_monitor(m_router.handle(), internal::routerMonitorEndpoint, internal::handshakeFailureEvents);
     m_routerMonitor.set(zmq::sockopt::linger, 0);
     m_routerMonitor.connect(internal::routerMonitorEndpoint);
     try {
@@ -77,76 +77,76 @@
     }
     m_watch.add(m_router, m_routerSource);
     m_watch.add(m_routerMonitor, m_routerMonitorSource);
-    countRefused();
+    countRefusedConnections();
     return {};
 }
 
-void PeerExchange::work()
+void PeerExchange::processSockets()
 {
     const SteadyTime now = std::chrono::steady_clock::now();
-    bool isSweepDue = now >= m_nextSweep;
+    bool isLinkUpdateDue = now >= m_nextLinkUpdate;
     for (const SocketSource *const source : m_watch.ready()) {
         if (source->daemon.has_value() && source->isMonitor) {
-            isSweepDue = true;
+            isLinkUpdateDue = true;
         } else if (source->daemon.has_value()) {
-            m_used.insert(*source->daemon);
+            m_linksToRead.insert(*source->daemon);
         } else if (source->isMonitor) {
-            countRefused();
+            countRefusedConnections();
         } else {
-            m_isRouterUsed = true;
+            m_isRouterToRead = true;
         }
     }
-    if (isSweepDue) {
-        sweep(now);
+    if (isLinkUpdateDue) {
+        updateLinks(now);
     }
-    settle();
+    processPending();
 }
 
-void PeerExchange::sweep(const SteadyTime now)
+void PeerExchange::updateLinks(const SteadyTime now)
 {
-    m_nextSweep = now + internal::sweepInterval;
+    m_nextLinkUpdate = now + internal::linkUpdateInterval;
     // What came before a link ended is read before the link is closed.
     for (const auto &[daemon, link] : m_links.links()) {
-        m_used.insert(daemon);
+        m_linksToRead.insert(daemon);
     }
-    receiveFromUsed();
+    receivePending();
     m_links.update(now);
 }
 
-void PeerExchange::settle()
+void PeerExchange::processPending()
 {
     // What is delivered may lead to sends, and those to further arrivals.
     do {
-        receiveFromUsed();
-        reportEnded();
-        std::vector<decision::Event> arrived;
-        arrived.swap(m_arrived);
-        for (decision::Event &event : arrived) {
-            m_receiver(std::move(event));
+        receivePending();
+        reportEndedLinks();
+        std::vector<decision::Event> receivedEvents;
+        receivedEvents.swap(m_receivedEvents);
+        for (decision::Event &event : receivedEvents) {
+            m_callback(std::move(event));
         }
-    } while (hasUnsettled());
+    } while (hasPending());
 }
 
-bool PeerExchange::hasUnsettled() const noexcept
+bool PeerExchange::hasPending() const noexcept
 {
-    return m_isRouterUsed || !m_used.empty() || !m_arrived.empty();
+    return m_isRouterToRead || !m_linksToRead.empty() || !m_receivedEvents.empty();
 }
 
-void PeerExchange::receiveFromUsed()
+void PeerExchange::receivePending()
 {
-    if (m_isRouterUsed) {
+    if (m_isRouterToRead) {
         receiveFromRouter();
     }
-    std::set<DaemonId> used;
-    used.swap(m_used);
-    for (const DaemonId &daemon : used) {
+    std::set<DaemonId> linksToRead;
+    linksToRead.swap(m_linksToRead);
+    for (const DaemonId &daemon : linksToRead) {
         receiveFrom(daemon);
     }
 }
 
 void PeerExchange::receiveFromRouter()
 {
-    m_isRouterUsed = false;
+    m_isRouterToRead = false;
     for (int count = 0; count < internal::receiveBatch; ++count) {
         zmq::message_t first;
         if (!m_router.recv(first, zmq::recv_flags::dontwait).has_value()) {
@@ -158,11 +158,11 @@
         }
         zmq::message_t second;
         static_cast<void>(m_router.recv(second, zmq::recv_flags::dontwait));
-        internal::dropRest(m_router, second.more());
+        internal::discardRemainingParts(m_router, second.more());
         const std::string routingId = first.to_string();
-        take(second.to_string_view(), &routingId, nullptr);
+        handleMessage(second.to_string_view(), &routingId, nullptr);
     }
-    m_isRouterUsed = true;
+    m_isRouterToRead = true;
 }
 
 void PeerExchange::receiveFrom(const DaemonId &daemon)
@@ -178,23 +178,23 @@
         if (!link.receive(message, now)) {
             return;
         }
-        take(message.to_string_view(), nullptr, &link);
+        handleMessage(message.to_string_view(), nullptr, &link);
     }
-    m_used.insert(daemon);
+    m_linksToRead.insert(daemon);
 }
 
-void PeerExchange::countRefused()
+void PeerExchange::countRefusedConnections()
 {
     zmq::message_t event;
     while (m_routerMonitor.recv(event, zmq::recv_flags::dontwait).has_value()) {
-        internal::dropRest(m_routerMonitor, event.more());
+        internal::discardRemainingParts(m_routerMonitor, event.more());
         m_metrics.count("connections_refused", "handshake");
     }
 }
 
-void PeerExchange::take(const std::string_view bytes, const std::string *const routingId, PeerLink *const link)
+void PeerExchange::handleMessage(const std::string_view bytes, const std::string *const routingId, PeerLink *const link)
 {
-    Result<protocol::Envelope> envelope = decodeCounted(bytes, m_metrics);
+    Result<protocol::Envelope> envelope = decodeAndCountFailure(bytes, m_metrics);
     if (!envelope.has_value()) {
         return;
     }
@@ -206,43 +206,43 @@
     if (link != nullptr && std::holds_alternative<protocol::CallAnswer>(envelope->message)) {
         link->noteAnswered();
     }
-    m_arrived.emplace_back(decision::PeerMessage{.envelope = std::move(*envelope)});
+    m_receivedEvents.emplace_back(decision::PeerMessage{.envelope = std::move(*envelope)});
 }
 
-void PeerExchange::send(const decision::SendToPeer &order)
+void PeerExchange::send(const decision::SendToPeer &action)
 {
-    if (const std::optional<Incarnation> asker = askerOf(order.message)) {
-        answer(order, *asker);
+    if (const std::optional<Incarnation> requester = requesterIncarnation(action.message)) {
+        sendReply(action, *requester);
         return;
     }
-    sendByLink(order);
+    sendByLink(action);
 }
 
-void PeerExchange::sendByLink(const decision::SendToPeer &order)
+void PeerExchange::sendByLink(const decision::SendToPeer &action)
 {
-    const auto *const request = std::get_if<protocol::CallRequest>(&order.message);
-    WaitingMessage message{.bytes = encode(order.message), .call = std::nullopt};
+    const auto *const request = std::get_if<protocol::CallRequest>(&action.message);
+    PendingMessage message{.bytes = encode(action.message), .call = std::nullopt};
     if (request != nullptr) {
         message.call = request->call;
     }
-    m_gossip.noteSent(order.message, message.bytes.size());
-    PeerLink *const link = m_links.linkTo(order.to, order.endpoint);
+    m_gossipTraffic.countSent(action.message, message.bytes.size());
+    PeerLink *const link = m_links.linkTo(action.to, action.endpoint);
     if (link != nullptr && link->send(std::move(message), std::chrono::steady_clock::now())) {
-        m_used.insert(order.to);
+        m_linksToRead.insert(action.to);
         return;
     }
     m_metrics.count("messages_dropped", "send-failed");
     if (request != nullptr) {
-        reportUnsent(order.to, request->call);
+        reportUnsent(action.to, request->call);
     }
 }
 
-void PeerExchange::answer(const decision::SendToPeer &order, const Incarnation receiver)
+void PeerExchange::sendReply(const decision::SendToPeer &action, const Incarnation receiverIncarnation)
 {
-    const std::string routingId = internal::routingId(order.to, receiver);
-    const std::string bytes = encode(order.message);
-    m_gossip.noteSent(order.message, bytes.size());
-    m_isRouterUsed = true;
+    const std::string routingId = internal::routingId(action.to, receiverIncarnation);
+    const std::string bytes = encode(action.message);
+    m_gossipTraffic.countSent(action.message, bytes.size());
+    m_isRouterToRead = true;
     try {
         const std::array<zmq::const_buffer, 2> parts{zmq::buffer(routingId), zmq::buffer(bytes)};
         const bool isSent = m_router.send(parts[0], zmq::send_flags::sndmore | zmq::send_flags::dontwait).has_value()
@@ -256,22 +256,22 @@
     }
 }
 
-void PeerExchange::reportEnded()
+void PeerExchange::reportEndedLinks()
 {
     for (const EndedLink &ended : m_links.takeEnded()) {
-        for (const WaitingMessage &message : ended.waiting) {
+        for (const PendingMessage &message : ended.unsent) {
             if (message.call.has_value()) {
                 reportUnsent(ended.daemon, *message.call);
             }
         }
         m_metrics.count("links_ended", ended.wasOpen ? "lost" : "not-opened");
-        m_arrived.emplace_back(decision::PeerLost{.daemon = ended.daemon, .wasConnected = ended.wasOpen});
+        m_receivedEvents.emplace_back(decision::PeerLost{.daemon = ended.daemon, .wasConnected = ended.wasOpen});
     }
 }
 
 void PeerExchange::reportUnsent(const DaemonId &to, const CallId call)
 {
-    m_arrived.emplace_back(decision::SendFailed{.to = to, .call = call});
+    m_receivedEvents.emplace_back(decision::SendFailed{.to = to, .call = call});
 }
 
 std::string PeerExchange::encode(const protocol::Message &message) const
--- a/src/egretlatch/peer/peer_exchange.hpp
+++ b/src/egretlatch/peer/peer_exchange.hpp
@@ -35,7 +35,7 @@
 {
 public:
     /*! @brief Takes what came; may call send(). */
-    using Receiver = std::function<void(decision::Event)>;
+    using EventCallback = std::function<void(decision::Event)>;
 
     /**
      * @brief Builds an exchange that speaks to nobody yet.
@@ -45,7 +45,7 @@
      * @param receiver Takes messages, lost links and requests that did not leave, from within work() and settle().
      * @param metrics Takes counts of dropped messages; must outlive the exchange.
      */
-    PeerExchange(DaemonId self, Incarnation incarnation, std::optional<settings::PeerKeys> keys, Receiver receiver, account::MetricsSink &metrics);
+    PeerExchange(DaemonId self, Incarnation incarnation, std::optional<settings::PeerKeys> keys, EventCallback callback, account::MetricsSink &metrics);
     PeerExchange(const PeerExchange &) = delete;
     PeerExchange &operator=(const PeerExchange &) = delete;
     ~PeerExchange();
@@ -58,20 +58,20 @@
     [[nodiscard]] Result<void> start(const std::string &endpoint);
 
     /*! @brief Takes what came; to be called when descriptor() is readable, and once a second. */
-    void work();
+    void processSockets();
 
     /**
      * @brief Takes what came unannounced while send() used a socket; to be called after the last of a row of sends.
      *
      * A socket that is used takes note of what came for it, and its descriptor then says nothing of that.
      */
-    void settle();
+    void processPending();
 
     /**
      * @brief Sends a message, now or once the link is open.
      * @param order The message; one that cannot leave is told of by settle().
      */
-    void send(const decision::SendToPeer &order);
+    void send(const decision::SendToPeer &action);
 
     /**
      * @brief Gives the descriptor that is readable when work() has something to do.
@@ -83,25 +83,25 @@
     }
 
 private:
-    void sweep(SteadyTime now);
-    [[nodiscard]] bool hasUnsettled() const noexcept;
-    void receiveFromUsed();
+    void updateLinks(SteadyTime now);
+    [[nodiscard]] bool hasPending() const noexcept;
+    void receivePending();
     void receiveFromRouter();
     void receiveFrom(const DaemonId &daemon);
-    void countRefused();
-    void take(std::string_view bytes, const std::string *routingId, PeerLink *link);
-    void sendByLink(const decision::SendToPeer &order);
-    void answer(const decision::SendToPeer &order, Incarnation receiver);
-    void reportEnded();
+    void countRefusedConnections();
+    void handleMessage(std::string_view bytes, const std::string *routingId, PeerLink *link);
+    void sendByLink(const decision::SendToPeer &action);
+    void sendReply(const decision::SendToPeer &action, Incarnation receiverIncarnation);
+    void reportEndedLinks();
     void reportUnsent(const DaemonId &to, CallId call);
     [[nodiscard]] std::string encode(const protocol::Message &message) const;
 
     DaemonId m_self;
     Incarnation m_incarnation;
     std::optional<settings::PeerKeys> m_keys;
-    Receiver m_receiver;
+    EventCallback m_callback;
     account::MetricsSink &m_metrics;
-    GossipTraffic m_gossip;
+    GossipTraffic m_gossipTraffic;
     zmq::context_t m_context;
     std::unique_ptr<PeerAuthenticator> m_authenticator;
     SocketWatch m_watch;
@@ -111,10 +111,10 @@
     SocketSource m_routerMonitorSource{.daemon = std::nullopt, .isMonitor = true};
     LinkTable m_links;
     /*! @brief Sockets that may have something which their descriptors do not tell. */
-    std::set<DaemonId> m_used;
-    bool m_isRouterUsed{};
-    std::vector<decision::Event> m_arrived;
-    SteadyTime m_nextSweep;
+    std::set<DaemonId> m_linksToRead;
+    bool m_isRouterToRead{};
+    std::vector<decision::Event> m_receivedEvents;
+    SteadyTime m_nextLinkUpdate;
 };
 
 } // namespace egretlatch::peer
--- a/src/egretlatch/peer/peer_link.cpp
+++ b/src/egretlatch/peer/peer_link.cpp
@@ -10,30 +10,30 @@
 namespace internal
 {
 
-constexpr int messagesHeld = 10'000;
-constexpr std::size_t mostWaiting = 1000;
+constexpr int highWaterMark = 10'000;
+constexpr std::size_t maxPendingMessages = 1000;
 constexpr int noReconnection = -1;
 constexpr int connectTimeoutMs = 2000;
 constexpr int handshakeTimeoutMs = 2000;
 constexpr int heartbeatMs = 2000;
 constexpr int heartbeatTimeoutMs = 3000;
-constexpr int heartbeatLifeMs = 6000;
-constexpr std::int64_t largestMessage = 80LL * 1024 * 1024;
+constexpr int heartbeatTtlMs = 6000;
+constexpr std::int64_t maxMessageBytes = 80LL * 1024 * 1024;
 constexpr std::chrono::seconds idleAfterGossip{3};
 constexpr std::chrono::seconds idleAfterCalls{60};
-constexpr std::chrono::minutes idleUnanswered{10};
+constexpr std::chrono::minutes idleWithUnanswered{10};
 
 constexpr int watchedEvents = ZMQ_EVENT_HANDSHAKE_SUCCEEDED | ZMQ_EVENT_CLOSED | ZMQ_EVENT_DISCONNECTED | ZMQ_EVENT_HANDSHAKE_FAILED_NO_DETAIL
     | ZMQ_EVENT_HANDSHAKE_FAILED_PROTOCOL | ZMQ_EVENT_HANDSHAKE_FAILED_AUTH;
 
 } // namespace internal
 
-void prepareSocket(zmq::socket_t &socket)
+void setCommonOptions(zmq::socket_t &socket)
 {
     socket.set(zmq::sockopt::linger, 0);
-    socket.set(zmq::sockopt::sndhwm, internal::messagesHeld);
-    socket.set(zmq::sockopt::rcvhwm, internal::messagesHeld);
-    socket.set(zmq::sockopt::maxmsgsize, internal::largestMessage);
+    socket.set(zmq::sockopt::sndhwm, internal::highWaterMark);
+    socket.set(zmq::sockopt::rcvhwm, internal::highWaterMark);
+    socket.set(zmq::sockopt::maxmsgsize, internal::maxMessageBytes);
     socket.set(zmq::sockopt::handshake_ivl, internal::handshakeTimeoutMs);
 }
 
@@ -42,10 +42,10 @@
     , m_options{std::move(options)}
     , m_socket{context, zmq::socket_type::dealer}
     , m_monitor{context, zmq::socket_type::pair}
-    , m_messages{.daemon = m_options.daemon, .isMonitor = false}
-    , m_events{.daemon = m_options.daemon, .isMonitor = true}
+    , m_messageSource{.daemon = m_options.daemon, .isMonitor = false}
+    , m_eventSource{.daemon = m_options.daemon, .isMonitor = true}
 {
-    prepareSocket(m_socket);
+    setCommonOptions(m_socket);
     m_socket.set(zmq::sockopt::routing_id, m_options.routingId);
     m_socket.set(zmq::sockopt::reconnect_ivl, internal::noReconnection);
     m_socket.set(zmq::sockopt::connect_timeout, internal::connectTimeoutMs);
@@ -53,7 +53,7 @@
     // own: the time to live that goes with each tells it when to give up.
     m_socket.set(zmq::sockopt::heartbeat_ivl, internal::heartbeatMs);
     m_socket.set(zmq::sockopt::heartbeat_timeout, internal::heartbeatTimeoutMs);
-    m_socket.set(zmq::sockopt::heartbeat_ttl, internal::heartbeatLifeMs);
+    m_socket.set(zmq::sockopt::heartbeat_ttl, internal::heartbeatTtlMs);
     if (m_options.keys.has_value()) {
         m_socket.set(zmq::sockopt::curve_publickey, m_options.keys->publicKey);
         m_socket.set(zmq::sockopt::curve_secretkey, m_options.keys->secretKey);
@@ -66,8 +66,8 @@
     m_monitor.set(zmq::sockopt::linger, 0);
     m_monitor.connect(monitorEndpoint);
     m_socket.connect(m_options.endpoint);
-    m_watch.add(m_socket, m_messages);
-    m_watch.add(m_monitor, m_events);
+    m_watch.add(m_socket, m_messageSource);
+    m_watch.add(m_monitor, m_eventSource);
     // The sender of a new pipe wakes its reader only once that has found the pipe empty.
     static_cast<void>(update());
 }
@@ -78,17 +78,17 @@
     m_watch.remove(m_monitor);
 }
 
-bool PeerLink::send(WaitingMessage message, const SteadyTime now)
+bool PeerLink::send(PendingMessage message, const SteadyTime now)
 {
     m_lastUse = now;
     if (message.call.has_value()) {
-        m_carriedCalls = true;
+        m_hasCarriedCalls = true;
     }
     if (m_state == LinkState::opening) {
-        if (m_waiting.size() >= internal::mostWaiting) {
+        if (m_pending.size() >= internal::maxPendingMessages) {
             return false;
         }
-        m_waiting.push_back(std::move(message));
+        m_pending.push_back(std::move(message));
         return true;
     }
     if (m_state != LinkState::open || !m_socket.send(zmq::buffer(message.bytes), zmq::send_flags::dontwait).has_value()) {
@@ -119,7 +119,7 @@
             static_cast<void>(m_monitor.recv(address, zmq::recv_flags::dontwait));
             hasMore = address.more();
         }
-        takeEvent(number);
+        handleMonitorEvent(number);
     }
     return m_state;
 }
@@ -133,23 +133,23 @@
 {
     const Duration unused = now - m_lastUse;
     if (hasUnanswered()) {
-        return unused >= internal::idleUnanswered;
+        return unused >= internal::idleWithUnanswered;
     }
-    return unused >= (m_carriedCalls ? Duration{internal::idleAfterCalls} : Duration{internal::idleAfterGossip});
+    return unused >= (m_hasCarriedCalls ? Duration{internal::idleAfterCalls} : Duration{internal::idleAfterGossip});
 }
 
-std::deque<WaitingMessage> PeerLink::takeWaiting()
+std::deque<PendingMessage> PeerLink::takeUnsent()
 {
-    std::deque<WaitingMessage> waiting;
-    waiting.swap(m_waiting);
-    return waiting;
+    std::deque<PendingMessage> pending;
+    pending.swap(m_pending);
+    return pending;
 }
 
-void PeerLink::takeEvent(const std::uint16_t event)
+void PeerLink::handleMonitorEvent(const std::uint16_t event)
 {
     if (event == ZMQ_EVENT_HANDSHAKE_SUCCEEDED) {
         m_state = LinkState::open;
-        flush();
+        sendPending();
         return;
     }
     // An open connection ends once; what follows its end says nothing new.
@@ -160,18 +160,18 @@
     }
 }
 
-void PeerLink::flush()
+void PeerLink::sendPending()
 {
-    std::deque<WaitingMessage> rest;
-    for (WaitingMessage &message : takeWaiting()) {
+    std::deque<PendingMessage> unsent;
+    for (PendingMessage &message : takeUnsent()) {
         const bool isSent = m_socket.send(zmq::buffer(message.bytes), zmq::send_flags::dontwait).has_value();
         if (!isSent) {
-            rest.push_back(std::move(message));
+            unsent.push_back(std::move(message));
         } else if (message.call.has_value()) {
             ++m_unanswered;
         }
     }
-    m_waiting = std::move(rest);
+    m_pending = std::move(unsent);
 }
 
 } // namespace egretlatch::peer
--- a/src/egretlatch/peer/peer_link.hpp
+++ b/src/egretlatch/peer/peer_link.hpp
@@ -27,7 +27,7 @@
 };
 
 /*! @brief A message that waits for its link to open. */
-struct WaitingMessage
+struct PendingMessage
 {
     std::string bytes;
     /*! @brief Set for a request, which has to be told of if it does not leave. */
@@ -75,7 +75,7 @@
      * @param now Current time.
      * @return False if there is no room for it; it will not leave then.
      */
-    [[nodiscard]] bool send(WaitingMessage message, SteadyTime now);
+    [[nodiscard]] bool send(PendingMessage message, SteadyTime now);
 
     /**
      * @brief Receives a message.
@@ -105,7 +105,7 @@
      * @brief Takes the messages that have not left.
      * @return The messages in order.
      */
-    [[nodiscard]] std::deque<WaitingMessage> takeWaiting();
+    [[nodiscard]] std::deque<PendingMessage> takeUnsent();
 
     [[nodiscard]] const LinkOptions &options() const noexcept
     {
@@ -123,19 +123,19 @@
     }
 
 private:
-    void takeEvent(std::uint16_t event);
-    void flush();
+    void handleMonitorEvent(std::uint16_t event);
+    void sendPending();
 
     SocketWatch &m_watch;
     LinkOptions m_options;
     zmq::socket_t m_socket;
     zmq::socket_t m_monitor;
-    SocketSource m_messages;
-    SocketSource m_events;
+    SocketSource m_messageSource;
+    SocketSource m_eventSource;
     LinkState m_state{LinkState::opening};
-    std::deque<WaitingMessage> m_waiting;
+    std::deque<PendingMessage> m_pending;
     std::uint64_t m_unanswered{};
-    bool m_carriedCalls{};
+    bool m_hasCarriedCalls{};
     SteadyTime m_lastUse;
 };
 
@@ -143,7 +143,7 @@
  * @brief Sets what all sockets towards daemons have in common.
  * @param socket The socket.
  */
-void prepareSocket(zmq::socket_t &socket);
+void setCommonOptions(zmq::socket_t &socket);
 
 } // namespace egretlatch::peer
 
--- a/src/egretlatch/peer/stream_exchange.cpp
+++ b/src/egretlatch/peer/stream_exchange.cpp
@@ -12,12 +12,12 @@
 {
 
 // At 750 daemons nobody can be connected to everybody: each connection costs descriptors and memory.
-constexpr std::size_t mostStreamLinks = 128;
+constexpr std::size_t maxStreamLinks = 128;
 // Longer than this between two ticks, the process itself stood still, and what the others sent lies unread.
-constexpr std::chrono::milliseconds longestTickGap{1000};
+constexpr std::chrono::milliseconds maxTickGap{1000};
 constexpr std::string_view scheme{"tcp://"};
 
-[[nodiscard]] static std::optional<net::Endpoint> endpointOf(const std::string_view address)
+[[nodiscard]] static std::optional<net::Endpoint> parseEndpoint(const std::string_view address)
 {
     if (!address.starts_with(scheme)) {
         return std::nullopt;
@@ -28,20 +28,21 @@
 } // namespace internal
 
 StreamExchange::StreamExchange(
-    net::Poller &poller, const Clock &clock, DaemonId self, const Incarnation incarnation, Receiver receiver, account::MetricsSink &metrics)
+    net::Poller &poller, const Clock &clock, DaemonId self, const Incarnation incarnation, EventCallback callback, account::MetricsSink &metrics)
     : m_poller{poller}
     , m_clock{clock}
     , m_self{std::move(self)}
     , m_incarnation{incarnation}
-    , m_receiver{std::move(receiver)}
+    , m_callback{std::move(callback)}
     , m_metrics{metrics}
-    , m_gossip{metrics}
+    , m_gossipTraffic{metrics}
     , m_acceptor{poller,
                  clock,
                  [this](const int descriptor) {
-                     auto inlet = std::make_unique<StreamInlet>(m_poller, static_cast<StreamInletListener &>(*this), descriptor, ++m_lastInlet);
-                     inlet->noteUse(m_clock.steadyNow());
-                     m_inlets.emplace(m_lastInlet, std::move(inlet));
+                     auto connection =
+                         std::make_unique<InboundConnection>(m_poller, static_cast<InboundConnectionListener &>(*this), descriptor, ++m_lastInboundNumber);
+                     connection->noteUse(m_clock.steadyNow());
+                     m_inboundConnections.emplace(m_lastInboundNumber, std::move(connection));
                  }}
     , m_lastTick{clock.steadyNow()}
 {
@@ -52,16 +53,16 @@
     return m_acceptor.listen(endpoint);
 }
 
-void StreamExchange::send(const decision::SendToPeer &order)
+void StreamExchange::send(const decision::SendToPeer &action)
 {
-    if (const std::optional<Incarnation> asker = askerOf(order.message)) {
-        answer(order, *asker);
+    if (const std::optional<Incarnation> requester = requesterIncarnation(action.message)) {
+        sendReply(action, *requester);
         return;
     }
-    sendByLink(order);
+    sendByLink(action);
 }
 
-void StreamExchange::beginLife(const Incarnation incarnation)
+void StreamExchange::beginIncarnation(const Incarnation incarnation)
 {
     m_incarnation = incarnation;
     // Others hold a connection for that of one life.
@@ -74,7 +75,7 @@
 {
     const SteadyTime now = m_clock.steadyNow();
     m_ended.clear();
-    const bool hasStoodStill = now - m_lastTick >= internal::longestTickGap;
+    const bool wasPaused = now - m_lastTick >= internal::maxTickGap;
     m_lastTick = now;
     // A link may go while it is told of, so they are found anew by name.
     for (const DaemonId &daemon : linkedDaemons()) {
@@ -82,8 +83,8 @@
         if (found == m_links.end()) {
             continue;
         }
-        if (hasStoodStill) {
-            found->second->excuse(now);
+        if (wasPaused) {
+            found->second->resetSilence(now);
         }
         if (found->second->isIdle(now)) {
             m_links.erase(found);
@@ -91,14 +92,14 @@
             found->second->tick(now);
         }
     }
-    std::vector<std::uint64_t> over;
-    for (const auto &[number, inlet] : m_inlets) {
-        if (inlet->isOver(now)) {
-            over.push_back(number);
+    std::vector<std::uint64_t> expired;
+    for (const auto &[number, connection] : m_inboundConnections) {
+        if (connection->isExpired(now)) {
+            expired.push_back(number);
         }
     }
-    for (const std::uint64_t number : over) {
-        onInletEnded(*m_inlets.at(number));
+    for (const std::uint64_t number : expired) {
+        onInboundConnectionEnded(*m_inboundConnections.at(number));
     }
 }
 
@@ -111,7 +112,7 @@
     if (std::holds_alternative<protocol::CallAnswer>(envelope->message)) {
         link.noteAnswered();
     }
-    m_receiver(decision::PeerMessage{.envelope = std::move(*envelope)});
+    m_callback(decision::PeerMessage{.envelope = std::move(*envelope)});
 }
 
 void StreamExchange::onLinkEnded(StreamLink &link, const bool wasOpen)
@@ -138,90 +139,90 @@
     const std::vector<CallId> unsent = link.takeUnsent();
     m_metrics.count("links_ended", wasOpen ? "lost" : "not-opened");
     for (const CallId call : unsent) {
-        m_receiver(decision::SendFailed{.to = link.daemon(), .call = call});
+        m_callback(decision::SendFailed{.to = link.daemon(), .call = call});
     }
-    m_receiver(decision::PeerLost{.daemon = link.daemon(), .wasConnected = wasOpen});
+    m_callback(decision::PeerLost{.daemon = link.daemon(), .wasConnected = wasOpen});
 }
 
-void StreamExchange::onMessage(StreamInlet &inlet, const QByteArray &message)
+void StreamExchange::onMessage(InboundConnection &connection, const QByteArray &message)
 {
-    inlet.noteUse(m_clock.steadyNow());
+    connection.noteUse(m_clock.steadyNow());
     Result<protocol::Envelope> envelope = decode(message);
     if (!envelope.has_value()) {
         return;
     }
-    if (!isFrom(inlet, {envelope->sender, envelope->incarnation})) {
+    if (!checkSender(connection, {envelope->sender, envelope->incarnation})) {
         m_metrics.count("messages_dropped", "sender-mismatch");
         return;
     }
-    m_receiver(decision::PeerMessage{.envelope = std::move(*envelope)});
+    m_callback(decision::PeerMessage{.envelope = std::move(*envelope)});
 }
 
-void StreamExchange::onInletEnded(StreamInlet &inlet)
+void StreamExchange::onInboundConnectionEnded(InboundConnection &connection)
 {
-    const std::uint64_t number = inlet.number();
-    const auto sender = m_senderOf.find(number);
-    if (sender != m_senderOf.end()) {
-        const auto newest = m_inletOf.find(sender->second);
-        if (newest != m_inletOf.end() && newest->second == number) {
-            m_inletOf.erase(newest);
+    const std::uint64_t number = connection.number();
+    const auto sender = m_senderByConnection.find(number);
+    if (sender != m_senderByConnection.end()) {
+        const auto newest = m_connectionBySender.find(sender->second);
+        if (newest != m_connectionBySender.end() && newest->second == number) {
+            m_connectionBySender.erase(newest);
         }
-        m_senderOf.erase(sender);
+        m_senderByConnection.erase(sender);
     }
-    m_inlets.erase(number);
+    m_inboundConnections.erase(number);
 }
 
 Result<protocol::Envelope> StreamExchange::decode(const QByteArray &message)
 {
-    return decodeCounted({message.constData(), static_cast<std::size_t>(message.size())}, m_metrics);
+    return decodeAndCountFailure({message.constData(), static_cast<std::size_t>(message.size())}, m_metrics);
 }
 
-bool StreamExchange::isFrom(const StreamInlet &inlet, const Sender &sender)
+bool StreamExchange::checkSender(const InboundConnection &connection, const Sender &sender)
 {
-    const auto known = m_senderOf.find(inlet.number());
-    if (known != m_senderOf.end()) {
+    const auto known = m_senderByConnection.find(connection.number());
+    if (known != m_senderByConnection.end()) {
         return known->second == sender;
     }
     // The first message names the sender. A daemon whose connection broke opens another before the end of the old one is
     // known, and waits for its answers on the newest.
-    m_senderOf.emplace(inlet.number(), sender);
-    m_inletOf.insert_or_assign(sender, inlet.number());
+    m_senderByConnection.emplace(connection.number(), sender);
+    m_connectionBySender.insert_or_assign(sender, connection.number());
     return true;
 }
 
-void StreamExchange::sendByLink(const decision::SendToPeer &order)
+void StreamExchange::sendByLink(const decision::SendToPeer &action)
 {
-    const auto *const request = std::get_if<protocol::CallRequest>(&order.message);
-    StreamLink::Waiting message{.frame = frame(order.message), .call = std::nullopt};
+    const auto *const request = std::get_if<protocol::CallRequest>(&action.message);
+    StreamLink::PendingFrame message{.frame = frame(action.message), .call = std::nullopt};
     if (request != nullptr) {
         message.call = request->call;
     }
-    StreamLink *const link = linkTo(order.to, order.endpoint);
+    StreamLink *const link = linkTo(action.to, action.endpoint);
     if (link != nullptr && link->send(std::move(message), m_clock.steadyNow())) {
         return;
     }
     m_metrics.count("messages_dropped", "send-failed");
     if (request != nullptr) {
-        m_receiver(decision::SendFailed{.to = order.to, .call = request->call});
+        m_callback(decision::SendFailed{.to = action.to, .call = request->call});
     }
 }
 
-void StreamExchange::answer(const decision::SendToPeer &order, const Incarnation receiver)
+void StreamExchange::sendReply(const decision::SendToPeer &action, const Incarnation receiverIncarnation)
 {
-    const auto number = m_inletOf.find({order.to, receiver});
-    if (number == m_inletOf.end()) {
+    const auto number = m_connectionBySender.find({action.to, receiverIncarnation});
+    if (number == m_connectionBySender.end()) {
         // The daemon that asked has gone, or its connection has; nobody is there to take the answer.
         m_metrics.count("messages_dropped", "receiver-gone");
         return;
     }
-    if (!m_inlets.at(number->second)->send(frame(order.message))) {
+    if (!m_inboundConnections.at(number->second)->send(frame(action.message))) {
         m_metrics.count("messages_dropped", "send-failed");
     }
 }
 
 StreamLink *StreamExchange::linkTo(const DaemonId &daemon, const std::string &endpoint)
 {
-    const std::optional<net::Endpoint> address = internal::endpointOf(endpoint);
+    const std::optional<net::Endpoint> address = internal::parseEndpoint(endpoint);
     const auto found = m_links.find(daemon);
     if (found != m_links.end() && (!address.has_value() || found->second->endpoint() == *address)) {
         return found->second.get();
@@ -233,7 +234,7 @@
         // The VM was replaced and its daemon has another address now; nothing will come from the old one.
         endLink(daemon, true);
     }
-    if (m_links.size() >= internal::mostStreamLinks && !makeRoom()) {
+    if (m_links.size() >= internal::maxStreamLinks && !evictLeastRecentlyUsed()) {
         return nullptr;
     }
     auto link = std::make_unique<StreamLink>(m_poller, m_clock, static_cast<StreamLinkListener &>(*this), daemon, *address);
@@ -243,12 +244,12 @@
     return m_links.insert_or_assign(daemon, std::move(link)).first->second.get();
 }
 
-bool StreamExchange::makeRoom()
+bool StreamExchange::evictLeastRecentlyUsed()
 {
     const StreamLink *oldest = nullptr;
     for (const auto &[daemon, link] : m_links) {
         const bool isOlder = oldest == nullptr || link->lastUse() < oldest->lastUse();
-        if (!link->isWaiting() && isOlder) {
+        if (!link->isAwaitingReply() && isOlder) {
             oldest = link.get();
         }
     }
@@ -262,8 +263,8 @@
 QByteArray StreamExchange::frame(const protocol::Message &message)
 {
     const std::string bytes = protocol::encode({.sender = m_self, .incarnation = m_incarnation, .message = message});
-    m_gossip.noteSent(message, bytes.size());
-    return frameOf(bytes);
+    m_gossipTraffic.countSent(message, bytes.size());
+    return encodeFrame(bytes);
 }
 
 } // namespace egretlatch::peer
--- a/src/egretlatch/peer/stream_exchange.hpp
+++ b/src/egretlatch/peer/stream_exchange.hpp
@@ -16,7 +16,7 @@
 #include <egretlatch/decision/event.hpp>
 #include <egretlatch/net/tcp_acceptor.hpp>
 #include <egretlatch/peer/gossip_traffic.hpp>
-#include <egretlatch/peer/stream_inlet.hpp>
+#include <egretlatch/peer/inbound_connection.hpp>
 #include <egretlatch/peer/stream_link.hpp>
 
 namespace egretlatch::peer
@@ -29,11 +29,11 @@
  * thread of its own, so a message costs one wake-up and one system call on each side. Requests leave by a link to each
  * daemon, opened when first needed; answers go back by the connection that the request came in by.
  */
-class StreamExchange final : private StreamLinkListener, private StreamInletListener
+class StreamExchange final : private StreamLinkListener, private InboundConnectionListener
 {
 public:
     /*! @brief Takes what came; may call send(). */
-    using Receiver = std::function<void(decision::Event)>;
+    using EventCallback = std::function<void(decision::Event)>;
 
     /**
      * @brief Builds an exchange that speaks to nobody yet.
@@ -44,7 +44,7 @@
      * @param receiver Takes messages, lost links and requests that did not leave; also from within send().
      * @param metrics Takes counts of dropped messages; must outlive it.
      */
-    StreamExchange(net::Poller &poller, const Clock &clock, DaemonId self, Incarnation incarnation, Receiver receiver, account::MetricsSink &metrics);
+    StreamExchange(net::Poller &poller, const Clock &clock, DaemonId self, Incarnation incarnation, EventCallback callback, account::MetricsSink &metrics);
 
     /**
      * @brief Listens where others connect to.
@@ -57,13 +57,13 @@
      * @brief Sends a message, now or once the link is open.
      * @param order The message; a request that cannot leave is told of as SendFailed.
      */
-    void send(const decision::SendToPeer &order);
+    void send(const decision::SendToPeer &action);
 
     /**
      * @brief Goes on under another incarnation; connections that were opened under the one before end.
      * @param incarnation The incarnation.
      */
-    void beginLife(Incarnation incarnation);
+    void beginIncarnation(Incarnation incarnation);
 
     /*! @brief Closes what is unused or silent; to be called some times a second. */
     void tick();
@@ -74,14 +74,14 @@
 
     void onMessage(StreamLink &link, const QByteArray &message) override;
     void onLinkEnded(StreamLink &link, bool wasOpen) override;
-    void onMessage(StreamInlet &inlet, const QByteArray &message) override;
-    void onInletEnded(StreamInlet &inlet) override;
+    void onMessage(InboundConnection &connection, const QByteArray &message) override;
+    void onInboundConnectionEnded(InboundConnection &connection) override;
     [[nodiscard]] Result<protocol::Envelope> decode(const QByteArray &message);
-    [[nodiscard]] bool isFrom(const StreamInlet &inlet, const Sender &sender);
-    void sendByLink(const decision::SendToPeer &order);
-    void answer(const decision::SendToPeer &order, Incarnation receiver);
+    [[nodiscard]] bool checkSender(const InboundConnection &connection, const Sender &sender);
+    void sendByLink(const decision::SendToPeer &action);
+    void sendReply(const decision::SendToPeer &action, Incarnation receiverIncarnation);
     [[nodiscard]] StreamLink *linkTo(const DaemonId &daemon, const std::string &endpoint);
-    [[nodiscard]] bool makeRoom();
+    [[nodiscard]] bool evictLeastRecentlyUsed();
     void endLink(const DaemonId &daemon, bool wasOpen);
     [[nodiscard]] std::vector<DaemonId> linkedDaemons() const;
     [[nodiscard]] QByteArray frame(const protocol::Message &message);
@@ -90,18 +90,18 @@
     const Clock &m_clock;
     DaemonId m_self;
     Incarnation m_incarnation;
-    Receiver m_receiver;
+    EventCallback m_callback;
     account::MetricsSink &m_metrics;
-    GossipTraffic m_gossip;
+    GossipTraffic m_gossipTraffic;
     net::TcpAcceptor m_acceptor;
     std::map<DaemonId, std::unique_ptr<StreamLink>> m_links;
     /*! @brief Links that are over; kept until the next tick, since one may be ended while it delivers a message. */
     std::vector<std::unique_ptr<StreamLink>> m_ended;
-    std::map<std::uint64_t, std::unique_ptr<StreamInlet>> m_inlets;
+    std::map<std::uint64_t, std::unique_ptr<InboundConnection>> m_inboundConnections;
     /*! @brief The newest connection of each sender, by its number, and the sender of each connection. */
-    std::map<Sender, std::uint64_t> m_inletOf;
-    std::map<std::uint64_t, Sender> m_senderOf;
-    std::uint64_t m_lastInlet{};
+    std::map<Sender, std::uint64_t> m_connectionBySender;
+    std::map<std::uint64_t, Sender> m_senderByConnection;
+    std::uint64_t m_lastInboundNumber{};
     SteadyTime m_lastTick;
 };
 
--- a/src/egretlatch/peer/stream_link.cpp
+++ b/src/egretlatch/peer/stream_link.cpp
@@ -6,17 +6,17 @@
 namespace internal
 {
 
-constexpr std::size_t mostWaiting = 1000;
+constexpr std::size_t maxPendingMessages = 1000;
 // Bytes that the other side has not taken; beyond them it stands still, and what is sent to it would only be late.
-constexpr qsizetype mostUnsent = qsizetype{8} * 1024 * 1024;
+constexpr qsizetype maxUnsentBytes = qsizetype{8} * 1024 * 1024;
 // A connection across a region opens within a tenth of a second, with a lost packet within little more than one.
-constexpr std::chrono::milliseconds longestOpening{2000};
+constexpr std::chrono::milliseconds connectTimeout{2000};
 // Answers take some hundreds of milliseconds, and a sign of life in between costs two small messages.
 constexpr std::chrono::milliseconds pingAfter{500};
 // A daemon that is short of processor time, or a way that loses packets, is heard of within this time.
-constexpr std::chrono::milliseconds longestSilence{2500};
+constexpr std::chrono::milliseconds maxSilence{2500};
 // Gossip comes back to each daemon of a hundred within so long, and a connection kept costs less than new ones.
-constexpr std::chrono::seconds longestUnused{60};
+constexpr std::chrono::seconds maxUnused{60};
 
 } // namespace internal
 
@@ -37,17 +37,17 @@
     return m_stream.open(m_endpoint);
 }
 
-bool StreamLink::send(Waiting message, const SteadyTime now)
+bool StreamLink::send(PendingFrame message, const SteadyTime now)
 {
-    if (m_hasEnded || m_waiting.size() >= internal::mostWaiting || m_stream.unsentBytes() >= internal::mostUnsent) {
+    if (m_hasEnded || m_pending.size() >= internal::maxPendingMessages || m_stream.unsentBytes() >= internal::maxUnsentBytes) {
         return false;
     }
     m_lastUse = now;
-    m_askedAt = m_askedAt.value_or(now);
+    m_awaitingSince = m_awaitingSince.value_or(now);
     m_unanswered += message.call.has_value() ? 1 : 0;
     if (!m_wasOpen) {
         // Not handed to the stream before it is open, so what did not leave is known.
-        m_waiting.push_back(std::move(message));
+        m_pending.push_back(std::move(message));
         return true;
     }
     m_stream.write(message.frame);
@@ -60,21 +60,21 @@
         return;
     }
     if (!m_wasOpen) {
-        if (now - m_openedAt >= internal::longestOpening) {
+        if (now - m_openedAt >= internal::connectTimeout) {
             end();
         }
         return;
     }
-    if (!m_askedAt.has_value()) {
+    if (!m_awaitingSince.has_value()) {
         return;
     }
-    if (now - *m_askedAt >= internal::longestSilence) {
+    if (now - *m_awaitingSince >= internal::maxSilence) {
         end();
         return;
     }
-    if (now - *m_askedAt >= internal::pingAfter && now - m_lastPing >= internal::pingAfter) {
+    if (now - *m_awaitingSince >= internal::pingAfter && now - m_lastPing >= internal::pingAfter) {
         m_lastPing = now;
-        m_stream.write(frameOf({}));
+        m_stream.write(encodeFrame({}));
     }
 }
 
@@ -88,40 +88,40 @@
 {
     m_unanswered -= m_unanswered > 0 ? 1 : 0;
     if (m_unanswered == 0) {
-        m_askedAt.reset();
+        m_awaitingSince.reset();
     }
 }
 
-void StreamLink::excuse(const SteadyTime now)
+void StreamLink::resetSilence(const SteadyTime now)
 {
-    if (m_askedAt.has_value()) {
-        m_askedAt = now;
+    if (m_awaitingSince.has_value()) {
+        m_awaitingSince = now;
     }
 }
 
 bool StreamLink::isIdle(const SteadyTime now) const noexcept
 {
-    return !isWaiting() && now - m_lastUse >= internal::longestUnused;
+    return !isAwaitingReply() && now - m_lastUse >= internal::maxUnused;
 }
 
 std::vector<CallId> StreamLink::takeUnsent()
 {
     std::vector<CallId> calls;
-    for (const Waiting &message : m_waiting) {
+    for (const PendingFrame &message : m_pending) {
         if (message.call.has_value()) {
             calls.push_back(*message.call);
         }
     }
-    m_waiting.clear();
+    m_pending.clear();
     return calls;
 }
 
 void StreamLink::onOpen()
 {
     m_wasOpen = true;
-    std::deque<Waiting> waiting;
-    waiting.swap(m_waiting);
-    for (const Waiting &message : waiting) {
+    std::deque<PendingFrame> pending;
+    pending.swap(m_pending);
+    for (const PendingFrame &message : pending) {
         m_stream.write(message.frame);
     }
 }
@@ -129,7 +129,7 @@
 void StreamLink::onBytes(const QByteArray &bytes)
 {
     const SteadyTime now = m_clock.steadyNow();
-    m_askedAt = m_unanswered > 0 ? std::optional{now} : std::nullopt;
+    m_awaitingSince = m_unanswered > 0 ? std::optional{now} : std::nullopt;
     m_lastUse = m_unanswered > 0 ? now : m_lastUse;
     m_frames.add(bytes);
     while (const std::optional<QByteArray> message = m_frames.next()) {
@@ -140,7 +140,7 @@
             return;
         }
     }
-    if (m_frames.isBroken()) {
+    if (m_frames.isMalformed()) {
         end();
     }
 }
--- a/src/egretlatch/peer/stream_link.hpp
+++ b/src/egretlatch/peer/stream_link.hpp
@@ -49,7 +49,7 @@
 {
 public:
     /*! @brief A message that waits for the connection to open. */
-    struct Waiting
+    struct PendingFrame
     {
         QByteArray frame;
         /*! @brief Set for a request, which has to be told of if it does not leave. */
@@ -78,7 +78,7 @@
      * @param now Current time.
      * @return False if there is no room for it; it will not leave then.
      */
-    [[nodiscard]] bool send(Waiting message, SteadyTime now);
+    [[nodiscard]] bool send(PendingFrame message, SteadyTime now);
 
     /**
      * @brief Asks for a sign of life where one is missing, and ends the link where none comes; may destroy it.
@@ -93,7 +93,7 @@
     void noteAnswered() noexcept;
 
     /*! @brief Forgets how long nothing was heard: this process itself stood still. */
-    void excuse(SteadyTime now);
+    void resetSilence(SteadyTime now);
 
     /**
      * @brief Says whether it can be closed.
@@ -124,9 +124,9 @@
     }
 
     /*! @brief Whether something is to be heard: an answer, or anything since something was sent. */
-    [[nodiscard]] bool isWaiting() const noexcept
+    [[nodiscard]] bool isAwaitingReply() const noexcept
     {
-        return m_askedAt.has_value();
+        return m_awaitingSince.has_value();
     }
 
 private:
@@ -141,14 +141,14 @@
     net::Endpoint m_endpoint;
     net::TcpStream m_stream;
     FrameReader m_frames;
-    std::deque<Waiting> m_waiting;
+    std::deque<PendingFrame> m_pending;
     bool m_wasOpen{};
     bool m_hasEnded{};
     SteadyTime m_openedAt;
     SteadyTime m_lastUse;
     std::uint64_t m_unanswered{};
     /*! @brief Since when something is to be heard. */
-    std::optional<SteadyTime> m_askedAt;
+    std::optional<SteadyTime> m_awaitingSince;
     SteadyTime m_lastPing;
 };
 
--- a/src/egretlatch/protocol/call_codec.cpp
+++ b/src/egretlatch/protocol/call_codec.cpp
@@ -70,7 +70,7 @@
     request.method = wire.method();
     request.path = wire.path();
     request.headers = readHeaders(wire);
-    request.body = toBody(wire.body());
+    request.body = toByteArray(wire.body());
     request.key = wire.key();
     request.requestName = wire.request_name();
     request.remaining = toDuration(wire.remaining_ns());
@@ -230,7 +230,7 @@
     answer.verdict = fromWire(wire.verdict());
     answer.status = wire.status();
     answer.headers = readHeaders(wire);
-    answer.body = toBody(wire.body());
+    answer.body = toByteArray(wire.body());
     if (wire.has_refusal()) {
         Result<account::Refusal> refusal = read(wire.refusal());
         if (!refusal.has_value()) {
--- a/src/egretlatch/protocol/codec.cpp
+++ b/src/egretlatch/protocol/codec.cpp
@@ -95,7 +95,7 @@
     }
     case wire::Envelope::kConfigurationBodyReply: {
         const wire::ConfigurationBodyReply &reply = wire.configuration_body_reply();
-        return configuration::BodyReply{.hash = reply.hash(), .manifest = toBody(reply.manifest())};
+        return configuration::BodyReply{.hash = reply.hash(), .manifest = toByteArray(reply.manifest())};
     }
     case wire::Envelope::BODY_NOT_SET:
         break;
--- a/src/egretlatch/protocol/codec_parts.hpp
+++ b/src/egretlatch/protocol/codec_parts.hpp
@@ -23,7 +23,7 @@
     return {body.constData(), static_cast<std::size_t>(body.size())};
 }
 
-[[nodiscard]] inline QByteArray toBody(const std::string &bytes)
+[[nodiscard]] inline QByteArray toByteArray(const std::string &bytes)
 {
     return {bytes.data(), static_cast<qsizetype>(bytes.size())};
 }
--- a/test/egretlatch/peer/frame_reader.cpp
+++ b/test/egretlatch/peer/frame_reader.cpp
@@ -10,7 +10,7 @@
     rc::check("any messages, any cuts", [](const std::vector<std::string> &messages, const std::vector<std::uint8_t> &cuts) {
         QByteArray stream;
         for (const std::string &message : messages) {
-            stream += peer::frameOf(message);
+            stream += peer::encodeFrame(message);
         }
         peer::FrameReader reader;
         std::vector<std::string> found;
@@ -27,7 +27,7 @@
         reader.add(stream);
         take();
         RC_ASSERT(found == messages);
-        RC_ASSERT(!reader.isBroken());
+        RC_ASSERT(!reader.isMalformed());
     });
 }
 
@@ -38,7 +38,7 @@
     peer::FrameReader reader;
     reader.add("GET / HTTP/1.1\r\n");
     CHECK(!reader.next().has_value());
-    CHECK(reader.isBroken());
-    reader.add(peer::frameOf("x"));
+    CHECK(reader.isMalformed());
+    reader.add(peer::encodeFrame("x"));
     CHECK(!reader.next().has_value());
 }
--- a/test/egretlatch/peer/peer_exchange.cpp
+++ b/test/egretlatch/peer/peer_exchange.cpp
@@ -18,7 +18,7 @@
 {
 
 // Only keeps a broken run from hanging.
-constexpr int longestSilenceMs = 30'000;
+constexpr int pollTimeoutMs = 30'000;
 
 [[nodiscard]] std::string freeEndpoint()
 {
@@ -35,14 +35,14 @@
                    {1},
                    std::nullopt,
                    [this](const decision::Event &event) {
-                       take(std::get<decision::PeerMessage>(event).envelope);
+                       handleMessage(std::get<decision::PeerMessage>(event).envelope);
                    },
                    metrics}
         , endpoint{freeEndpoint()}
     {
         REQUIRE(exchange.start(endpoint).has_value());
         // The first call looks at all sockets, the next ones do so a second later.
-        exchange.work();
+        exchange.processSockets();
     }
 
     void request(const std::string &to, const std::string &at)
@@ -53,7 +53,7 @@
         exchange.send({.to = {to}, .endpoint = at, .message = request});
     }
 
-    void take(const protocol::Envelope &envelope)
+    void handleMessage(const protocol::Envelope &envelope)
     {
         if (const auto *const request = std::get_if<protocol::CallRequest>(&envelope.message)) {
             protocol::CallAnswer answer;
@@ -78,18 +78,18 @@
 };
 
 // Works for whoever has something to do; nothing that came may wait for a later reason to look.
-[[nodiscard]] bool workOnce(Daemon &one, Daemon &two)
+[[nodiscard]] bool processOnce(Daemon &one, Daemon &two)
 {
     std::array<pollfd, 2> watched{
         {{.fd = one.exchange.descriptor(), .events = POLLIN, .revents = 0}, {.fd = two.exchange.descriptor(), .events = POLLIN, .revents = 0}}};
-    if (::poll(watched.data(), watched.size(), longestSilenceMs) <= 0) {
+    if (::poll(watched.data(), watched.size(), pollTimeoutMs) <= 0) {
         return false;
     }
     if (watched[0].revents != 0) {
-        one.exchange.work();
+        one.exchange.processSockets();
     }
     if (watched[1].revents != 0) {
-        two.exchange.work();
+        two.exchange.processSockets();
     }
     return true;
 }
@@ -106,11 +106,11 @@
     two.other = one.endpoint;
     one.request("two", two.endpoint);
     two.request("one", one.endpoint);
-    one.exchange.settle();
-    two.exchange.settle();
+    one.exchange.processPending();
+    two.exchange.processPending();
 
     while (one.answers < 300 || two.answers < 300) {
-        REQUIRE(workOnce(one, two));
+        REQUIRE(processOnce(one, two));
     }
 
     CHECK(one.answers == 300);
--- a/test/egretlatch/peer/stream_exchange.cpp
+++ b/test/egretlatch/peer/stream_exchange.cpp
@@ -40,15 +40,15 @@
 // A daemon that keeps all that it is told of, and answers requests where it is told to.
 struct Daemon : Application
 {
-    explicit Daemon(const std::string &id, const std::uint64_t life = 1, const std::uint16_t listenAt = freePort())
+    explicit Daemon(const std::string &id, const std::uint64_t incarnation = 1, const std::uint16_t listenAt = freePort())
         : name{id}
         , port{listenAt}
         , exchange{poller,
                    clock,
                    {id},
-                   {life},
+                   {incarnation},
                    [this](const decision::Event &event) {
-                       take(event);
+                       handleEvent(event);
                    },
                    metrics}
     {
@@ -73,18 +73,18 @@
         exchange.send({.to = {to}, .endpoint = at, .message = request});
     }
 
-    void take(const decision::Event &event)
+    void handleEvent(const decision::Event &event)
     {
         if (const auto *const failed = std::get_if<decision::SendFailed>(&event)) {
             unsent.push_back(failed->call.value);
         } else if (const auto *const lost = std::get_if<decision::PeerLost>(&event)) {
             this->lost.push_back(lost->wasConnected);
         } else if (const auto *const message = std::get_if<decision::PeerMessage>(&event)) {
-            takeMessage(message->envelope);
+            handleMessage(message->envelope);
         }
     }
 
-    void takeMessage(const protocol::Envelope &envelope)
+    void handleMessage(const protocol::Envelope &envelope)
     {
         if (const auto *const answer = std::get_if<protocol::CallAnswer>(&envelope.message)) {
             answered.push_back(answer->call.value);
@@ -92,7 +92,7 @@
         }
         const auto &request = std::get<protocol::CallRequest>(envelope.message);
         requests.push_back(request.call.value);
-        senderLives.push_back(envelope.incarnation.value);
+        senderIncarnations.push_back(envelope.incarnation.value);
         if (answers) {
             protocol::CallAnswer answer;
             answer.call = request.call;
@@ -110,7 +110,7 @@
     account::MetricsRegistry metrics;
     peer::StreamExchange exchange;
     std::vector<std::uint64_t> requests;
-    std::vector<std::uint64_t> senderLives;
+    std::vector<std::uint64_t> senderIncarnations;
     std::vector<std::uint64_t> answered;
     std::vector<std::uint64_t> unsent;
     std::vector<bool> lost;
@@ -180,7 +180,7 @@
         return entry.answered.size() == 1;
     }));
 
-    entry.exchange.beginLife({2});
+    entry.exchange.beginIncarnation({2});
     CHECK(entry.lost == std::vector<bool>{true});
     entry.request(serving, 2);
 
@@ -188,7 +188,7 @@
         return entry.answered.size() == 2;
     }));
     CHECK(serving.requests == std::vector<std::uint64_t>{1, 2});
-    CHECK(serving.senderLives == std::vector<std::uint64_t>{1, 2});
+    CHECK(serving.senderIncarnations == std::vector<std::uint64_t>{1, 2});
 }
 
 TEST_CASE("a connection that falls silent is given up, and one whose daemon is only slow is not")
