--- a/src/egretlatch/peer/frame_reader.cpp
+++ b/src/egretlatch/peer/frame_reader.cpp
@@ -24,7 +24,7 @@
 
 void FrameReader::add(const QByteArray &bytes)
 {
-    // What was read is dropped here, once for all frames of the bytes before.
+    // Discards the frames read so far in one step, rather than moving the buffer for each frame.
     m_buffer.remove(0, m_readOffset);
     m_readOffset = 0;
     m_buffer.append(bytes);
--- a/src/egretlatch/peer/frame_reader.hpp
+++ b/src/egretlatch/peer/frame_reader.hpp
@@ -9,33 +9,33 @@
 namespace egretlatch::peer
 {
 
-/*! @brief Bytes of a message that a frame may hold; beyond it the other side does not speak our protocol. */
+/*! @brief Largest message in bytes that a frame may hold; a larger length means that the remote end does not speak this protocol. */
 constexpr qsizetype maxFrameBytes = qsizetype{80} * 1024 * 1024;
 
 /**
- * @brief Puts a message in a frame: four bytes of length, the highest first, and the message.
- * @param message Bytes of the message; empty for a frame that only says that its sender lives.
+ * @brief Encodes a message as a frame: its length as a 4-byte big-endian integer, followed by the message.
+ * @param message Bytes of the message; empty for a keepalive frame.
  * @return Bytes of the frame.
  */
 [[nodiscard]] QByteArray encodeFrame(std::string_view message);
 
-/*! @brief Finds the frames in a stream of bytes. */
+/*! @brief Splits a stream of bytes into frames. */
 class FrameReader
 {
 public:
     /**
-     * @brief Takes bytes that came.
-     * @param bytes The bytes.
+     * @brief Appends received bytes to the buffer.
+     * @param bytes Received bytes; they may end in the middle of a frame.
      */
     void add(const QByteArray &bytes);
 
     /**
-     * @brief Takes the next whole frame.
-     * @return Its message, or nothing until more bytes come or where isBroken().
+     * @brief Takes the next complete frame from the buffer.
+     * @return Its message; nothing if more bytes are needed, or if isMalformed().
      */
     [[nodiscard]] std::optional<QByteArray> next();
 
-    /*! @brief Whether a length came that no frame has; nothing that follows can be told apart. */
+    /*! @brief Tells whether a length above maxFrameBytes was received; no frame after it can be recognised. */
     [[nodiscard]] bool isMalformed() const noexcept
     {
         return m_isMalformed;
--- a/src/egretlatch/peer/gossip_traffic.hpp
+++ b/src/egretlatch/peer/gossip_traffic.hpp
@@ -9,20 +9,20 @@
 namespace egretlatch::peer
 {
 
-/*! @brief Counts what membership costs in messages and bytes. */
+/*! @brief Counts the messages and bytes sent as membership gossip. */
 class GossipTraffic
 {
 public:
     /**
-     * @brief Builds it without traffic.
-     * @param metrics Takes the counts; must outlive it.
+     * @brief Builds a counter that starts at zero.
+     * @param metrics Receives the counts; must outlive this object.
      */
     explicit GossipTraffic(account::MetricsSink &metrics);
 
     /**
-     * @brief Counts a message that is sent, if it is gossip.
-     * @param message The message.
-     * @param bytes Its size.
+     * @brief Counts an outgoing message if it is gossip, and ignores any other.
+     * @param message Message that is sent.
+     * @param bytes Size of the encoded message.
      */
     void countSent(const protocol::Message &message, std::size_t bytes);
 
--- a/src/egretlatch/peer/inbound_connection.cpp
+++ b/src/egretlatch/peer/inbound_connection.cpp
@@ -6,9 +6,9 @@
 namespace internal
 {
 
-// Bytes that the other side has not taken; beyond them it stands still.
+// Limits the bytes that the remote end has not read yet; beyond it the remote end is taken as stalled.
 constexpr qsizetype maxUnsentBytes = qsizetype{32} * 1024 * 1024;
-// Longer than a daemon keeps a link that it does not use, so only one whose end was never told of gets so old.
+// Longer than a daemon keeps an unused link, so only a connection whose end was never detected reaches this age.
 constexpr std::chrono::seconds maxUnused{90};
 
 } // namespace internal
@@ -44,7 +44,7 @@
     m_frames.add(bytes);
     while (const std::optional<QByteArray> message = m_frames.next()) {
         if (message->isEmpty()) {
-            // Asked for a sign of life.
+            // An empty frame is a keepalive request, and is answered by another one.
             static_cast<void>(send(encodeFrame({})));
         } else {
             m_listener.onMessage(*this, *message);
--- a/src/egretlatch/peer/inbound_connection.hpp
+++ b/src/egretlatch/peer/inbound_connection.hpp
@@ -12,43 +12,43 @@
 
 class InboundConnection;
 
-/*! @brief Takes what happens on a connection that another daemon opened. */
+/*! @brief Receives the events of a connection that another daemon opened. */
 class InboundConnectionListener
 {
 public:
     virtual ~InboundConnectionListener() = default;
 
     /**
-     * @brief A message came.
-     * @param inlet The connection.
-     * @param message Its bytes.
+     * @brief Handles a received message.
+     * @param connection Connection that it arrived on.
+     * @param message Encoded message.
      */
     virtual void onMessage(InboundConnection &connection, const QByteArray &message) = 0;
 
     /**
-     * @brief The connection ended; may destroy it.
-     * @param inlet The connection.
+     * @brief Handles the end of the connection; may destroy it.
+     * @param connection Connection that ended.
      */
     virtual void onInboundConnectionEnded(InboundConnection &connection) = 0;
 };
 
-/*! @brief One connection that another daemon opened: its requests come in by it, and their answers go back by it. */
+/*! @brief Connection that another daemon opened: receives its requests and sends back their answers. */
 class InboundConnection final : private net::StreamListener
 {
 public:
     /**
-     * @brief Takes a connection over.
-     * @param poller Watches it; must outlive it.
-     * @param listener Takes messages and the end; must outlive it.
-     * @param descriptor Its socket.
-     * @param number Unique among the inlets of an exchange.
+     * @brief Takes over an accepted connection.
+     * @param poller Watches the connection; must outlive it.
+     * @param listener Receives the messages and the end of the connection; must outlive it.
+     * @param descriptor Socket of the connection.
+     * @param number Number that is unique among the inbound connections of an exchange.
      */
     InboundConnection(net::Poller &poller, InboundConnectionListener &listener, int descriptor, std::uint64_t number);
 
     /**
      * @brief Sends a message.
-     * @param frame The message in its frame.
-     * @return False if the other side takes nothing, or has gone.
+     * @param frame Message encoded by encodeFrame().
+     * @return False if the remote end no longer reads or has closed the connection.
      */
     [[nodiscard]] bool send(const QByteArray &frame);
 
@@ -58,14 +58,14 @@
     }
 
     /**
-     * @brief Says whether it can be forgotten.
+     * @brief Tells whether the connection can be discarded.
      * @param now Current time.
-     * @return True if it is broken, or nothing came for longer than any daemon keeps an unused link.
+     * @return True if its data is malformed, or no message was received for longer than any daemon keeps an unused link.
      */
     [[nodiscard]] bool isExpired(SteadyTime now) const noexcept;
 
     /**
-     * @brief Notes that something came.
+     * @brief Records that a message was received.
      * @param now Current time.
      */
     void noteUse(const SteadyTime now) noexcept
--- a/src/egretlatch/peer/link_table.cpp
+++ b/src/egretlatch/peer/link_table.cpp
@@ -29,7 +29,7 @@
         return nullptr;
     }
     if (found != m_links.end()) {
-        // The VM was replaced and its daemon has another address now; nothing will come from the old one.
+        // The VM was replaced and its daemon has a new address; nothing more arrives from the old one.
         recordEnded(daemon, *found->second, true);
         m_links.erase(found);
     }
@@ -101,9 +101,9 @@
 
 bool LinkTable::reopen(const DaemonId &daemon, PeerLink &failed, const SteadyTime now)
 {
-    // While keys are changed some daemons have the old one and some the new, and which is not known before trying.
-    // A daemon that refuses the connection altogether is down, and is not tried with each key in turn for ever: the
-    // round ends with the key that it began with.
+    // During a key rotation some daemons have the old key and some the new one, and only a connection attempt shows which.
+    // A daemon that refuses every connection is down and must not be retried with each key for ever, so the attempts end
+    // when the index wraps around to the first key.
     if (!m_keys.has_value() || m_keys->accepted.size() < 2) {
         return false;
     }
--- a/src/egretlatch/peer/link_table.hpp
+++ b/src/egretlatch/peer/link_table.hpp
@@ -18,49 +18,49 @@
 namespace egretlatch::peer
 {
 
-/*! @brief A link that ended, with what did not leave by it. */
+/*! @brief Link that has ended, with the messages that were not sent over it. */
 struct EndedLink
 {
     DaemonId daemon;
-    /*! @brief Whether messages may have left by it that are not answered. */
+    /*! @brief Tells whether unanswered messages may have been sent over it. */
     bool wasOpen{};
     std::deque<PendingMessage> unsent;
 };
 
 /**
- * @brief The links of a daemon, opened when needed, bounded in number and closed when unused.
+ * @brief Holds a daemon's outgoing links: opens them on demand, limits their number and closes unused ones.
  *
- * At 750 daemons nobody can be connected to everybody: each connection costs descriptors, memory and heartbeats.
+ * A full mesh is not affordable at 750 daemons: each connection costs descriptors, memory and heartbeats.
  */
 class LinkTable
 {
 public:
     /**
      * @brief Builds an empty table.
-     * @param context Context of the sockets; must outlive it.
-     * @param watch Watches the sockets; must outlive it.
-     * @param routingId How this daemon makes itself known.
+     * @param context Context of the sockets; must outlive this object.
+     * @param watch Watches the sockets; must outlive this object.
+     * @param routingId ZeroMQ routing id of this daemon.
      * @param keys Keys of the daemons; nothing without encryption.
      */
     LinkTable(zmq::context_t &context, SocketWatch &watch, std::string routingId, std::optional<settings::PeerKeys> keys);
 
     /**
-     * @brief Gives the link to a daemon, opening one if need be.
-     * @param daemon The daemon.
-     * @param endpoint Its address; empty to use only what is open.
+     * @brief Returns the link to a daemon, opening one if necessary.
+     * @param daemon Daemon to reach.
+     * @param endpoint Address of the daemon; empty to use an existing link only.
      * @return The link, or null if there is none and none can be opened; valid until the next call.
      */
     [[nodiscard]] PeerLink *linkTo(const DaemonId &daemon, const std::string &endpoint);
 
     /**
-     * @brief Takes what ZeroMQ says of all links, closes unused ones, and tries the next key where one did not do.
+     * @brief Processes the ZeroMQ monitor events of all links, closes unused links, and retries failed ones with the next key.
      * @param now Current time.
      */
     void update(SteadyTime now);
 
     /**
-     * @brief Takes the links that ended.
-     * @return Those since the last call.
+     * @brief Takes the links that have ended.
+     * @return Links that ended since the last call.
      */
     [[nodiscard]] std::vector<EndedLink> takeEnded();
 
@@ -80,7 +80,7 @@
     std::string m_routingId;
     std::optional<settings::PeerKeys> m_keys;
     std::map<DaemonId, std::unique_ptr<PeerLink>> m_links;
-    /*! @brief Which of the accepted keys an endpoint had last, where it is not the first. */
+    /*! @brief Index of the accepted key tried last for each endpoint; an endpoint not listed uses the first key. */
     std::map<std::string, std::size_t> m_keyIndexes;
     std::vector<EndedLink> m_ended;
     std::uint64_t m_lastNumber{};
--- a/src/egretlatch/peer/message_rules.hpp
+++ b/src/egretlatch/peer/message_rules.hpp
@@ -13,17 +13,17 @@
 {
 
 /**
- * @brief Tells whether a message is a reply, which goes back by the connection that what it replies to came in by.
- * @param message The message.
- * @return The life of the daemon that asked; nothing for a message that goes out by a link.
+ * @brief Returns the incarnation that a reply is addressed to; a reply is sent over the connection that its request arrived on.
+ * @param message Message to send.
+ * @return Incarnation of the requesting daemon; nothing for a message that is not a reply and is sent over a link.
  */
 [[nodiscard]] std::optional<Incarnation> requesterIncarnation(const protocol::Message &message);
 
 /**
- * @brief Reads a message, and counts one that cannot be read as dropped.
- * @param bytes Its bytes.
- * @param metrics Takes the count.
- * @return The message with its sender, or why there is none.
+ * @brief Decodes a message, and counts one that cannot be decoded as dropped.
+ * @param bytes Encoded message.
+ * @param metrics Receives the count of dropped messages.
+ * @return The message with its sender; `malformed` or `wrongVersion` otherwise.
  */
 [[nodiscard]] Result<protocol::Envelope> decodeAndCountFailure(std::string_view bytes, account::MetricsSink &metrics);
 
--- a/src/egretlatch/peer/peer_authenticator.cpp
+++ b/src/egretlatch/peer/peer_authenticator.cpp
@@ -8,7 +8,8 @@
 namespace internal
 {
 
-// RFC 27 of ZeroMQ: the frames of a request, in order, and of its answer.
+// ZeroMQ RFC 27 (ZAP) gives the frames of a request and of its answer, in order. Positions are those in a request; sizes are of
+// a key in bytes and of its Z85 text with the terminator.
 constexpr std::size_t requestIdFrame = 1;
 constexpr std::size_t mechanismFrame = 5;
 constexpr std::size_t keyFrame = 6;
--- a/src/egretlatch/peer/peer_authenticator.hpp
+++ b/src/egretlatch/peer/peer_authenticator.hpp
@@ -14,25 +14,25 @@
 {
 
 /**
- * @brief Tells ZeroMQ which public keys may connect, on a thread of its own as ZeroMQ's authentication asks.
+ * @brief Answers ZeroMQ's authentication requests with a list of accepted public keys, on a thread of its own as ZAP requires.
  *
- * ZeroMQ asks before it passes on any message of a connection, so a stranger's messages are never read.
+ * ZeroMQ authenticates a connection before it delivers any of its messages, so those of an unknown key are never read.
  */
 class PeerAuthenticator
 {
 public:
     /**
      * @brief Starts the thread.
-     * @param context Context of the sockets to guard; must outlive this object, which ends once it is shut down.
-     * @param accepted Public keys that may connect, as Z85 text.
-     * @param metrics Takes counts of refused connections; must outlive this object.
-     * @throws zmq::error_t If the context already has one.
+     * @param context Context of the sockets to protect; must outlive this object, whose thread ends once the context is shut down.
+     * @param acceptedKeys Public keys that may connect, as Z85 text.
+     * @param metrics Receives counts of refused connections; must outlive this object.
+     * @throws zmq::error_t If the context already has an authenticator.
      */
     PeerAuthenticator(zmq::context_t &context, const std::vector<std::string> &acceptedKeys, account::MetricsSink &metrics);
     PeerAuthenticator(const PeerAuthenticator &) = delete;
     PeerAuthenticator &operator=(const PeerAuthenticator &) = delete;
 
-    /*! @brief Waits for the thread; the context must have been shut down. */
+    /*! @brief Waits for the thread to end; the context must have been shut down. */
     ~PeerAuthenticator();
 
 private:
--- a/src/egretlatch/peer/peer_exchange.cpp
+++ b/src/egretlatch/peer/peer_exchange.cpp
@@ -58,11 +58,11 @@
 {
     setCommonOptions(m_router);
     m_router.set(zmq::sockopt::router_mandatory, 1);
-    // A daemon whose connection broke comes back under the same routing id before the old connection is known to be
-    // dead; without the handover its messages would be dropped until then.
+    // After a broken connection a daemon reconnects under the same routing id, possibly before the old connection is
+    // detected as dead. Without the handover its messages would be dropped until then.
     m_router.set(zmq::sockopt::router_handover, 1);
     if (m_keys.has_value()) {
-        // Before the socket is bound: a connection that comes while nobody answers for the keys would be let in.
+        // Must precede bind(): ZeroMQ accepts any connection while no authenticator is running.
         m_authenticator = std::make_unique<PeerAuthenticator>(m_context, m_keys->accepted, m_metrics);
         m_router.set(zmq::sockopt::curve_server, 1);
         m_router.set(zmq::sockopt::curve_secretkey, m_keys->secretKey);
@@ -105,7 +105,7 @@
 void PeerExchange::updateLinks(const SteadyTime now)
 {
     m_nextLinkUpdate = now + internal::linkUpdateInterval;
-    // What came before a link ended is read before the link is closed.
+    // Reads what arrived before a link ended, as update() closes ended links.
     for (const auto &[daemon, link] : m_links.links()) {
         m_linksToRead.insert(daemon);
     }
@@ -115,7 +115,7 @@
 
 void PeerExchange::processPending()
 {
-    // What is delivered may lead to sends, and those to further arrivals.
+    // The callback may send messages, and sending may reveal further received ones.
     do {
         receivePending();
         reportEndedLinks();
@@ -198,7 +198,7 @@
     if (!envelope.has_value()) {
         return;
     }
-    // The answer goes back to the routing id of the connection, so a sender that names itself otherwise gets none.
+    // Answers are addressed by routing id, so one for a sender that gives another id or incarnation could not reach it.
     if (routingId != nullptr && *routingId != internal::routingId(envelope->sender, envelope->incarnation)) {
         m_metrics.count("messages_dropped", "sender-mismatch");
         return;
@@ -251,7 +251,7 @@
             m_metrics.count("messages_dropped", "send-failed");
         }
     } catch (const zmq::error_t &) {
-        // The daemon that asked has gone, or its connection has; nobody is there to take the answer.
+        // The requesting daemon or its connection is gone, so the answer cannot be delivered.
         m_metrics.count("messages_dropped", "receiver-gone");
     }
 }
--- a/src/egretlatch/peer/peer_exchange.hpp
+++ b/src/egretlatch/peer/peer_exchange.hpp
@@ -26,24 +26,24 @@
 {
 
 /**
- * @brief Exchanges messages with other daemons over ZeroMQ; lives on one thread.
+ * @brief Exchanges messages with other daemons over ZeroMQ; all calls must come from one thread.
  *
- * Requests leave by a link to each daemon, opened when first needed; answers go back by the ROUTER socket that the request
- * came in by. A socket's routing id names the daemon and its incarnation.
+ * Requests are sent over one link for each daemon, opened on first use; answers go back through the ROUTER socket that
+ * received the request. The routing id of a socket names the daemon and its incarnation.
  */
 class PeerExchange
 {
 public:
-    /*! @brief Takes what came; may call send(). */
+    /*! @brief Receives the events of the exchange; may call send(). */
     using EventCallback = std::function<void(decision::Event)>;
 
     /**
-     * @brief Builds an exchange that speaks to nobody yet.
-     * @param self This daemon.
-     * @param incarnation Its life.
-     * @param keys Keys of the daemons; nothing to speak without encryption and to let anyone in.
-     * @param receiver Takes messages, lost links and requests that did not leave, from within work() and settle().
-     * @param metrics Takes counts of dropped messages; must outlive the exchange.
+     * @brief Builds an exchange without connections.
+     * @param self Id of this daemon.
+     * @param incarnation Incarnation of this daemon.
+     * @param keys Keys of the daemons; nothing to disable encryption and accept any connection.
+     * @param callback Receives messages, lost links and unsent requests, from within processSockets() and processPending().
+     * @param metrics Receives counts of dropped messages; must outlive the exchange.
      */
     PeerExchange(DaemonId self, Incarnation incarnation, std::optional<settings::PeerKeys> keys, EventCallback callback, account::MetricsSink &metrics);
     PeerExchange(const PeerExchange &) = delete;
@@ -51,30 +51,31 @@
     ~PeerExchange();
 
     /**
-     * @brief Binds the socket that others connect to.
+     * @brief Binds the socket that other daemons connect to.
      * @param endpoint Address as `tcp://ADDRESS:PORT`.
-     * @return Nothing, or `unavailable` if the address cannot be had.
+     * @return Nothing, or `unavailable` if the address cannot be bound.
      */
     [[nodiscard]] Result<void> start(const std::string &endpoint);
 
-    /*! @brief Takes what came; to be called when descriptor() is readable, and once a second. */
+    /*! @brief Reads all sockets that are ready and delivers their events; to be called when descriptor() is readable, and once a second. */
     void processSockets();
 
     /**
-     * @brief Takes what came unannounced while send() used a socket; to be called after the last of a row of sends.
+     * @brief Reads what arrived while send() used a socket; to be called after the last of a series of sends.
      *
-     * A socket that is used takes note of what came for it, and its descriptor then says nothing of that.
+     * A call on a ZeroMQ socket also processes its pending notifications, after which its descriptor no longer signals
+     * what has arrived.
      */
     void processPending();
 
     /**
-     * @brief Sends a message, now or once the link is open.
-     * @param order The message; one that cannot leave is told of by settle().
+     * @brief Sends a message, immediately or once the link is open.
+     * @param action Message and receiver; processPending() reports a request that cannot be sent.
      */
     void send(const decision::SendToPeer &action);
 
     /**
-     * @brief Gives the descriptor that is readable when work() has something to do.
+     * @brief Returns the descriptor that is readable when processSockets() has work to do.
      * @return The descriptor, valid as long as this object.
      */
     [[nodiscard]] int descriptor() const noexcept
@@ -110,7 +111,7 @@
     SocketSource m_routerSource;
     SocketSource m_routerMonitorSource{.daemon = std::nullopt, .isMonitor = true};
     LinkTable m_links;
-    /*! @brief Sockets that may have something which their descriptors do not tell. */
+    /*! @brief Daemons whose link sockets may hold messages that their descriptors do not signal. */
     std::set<DaemonId> m_linksToRead;
     bool m_isRouterToRead{};
     std::vector<decision::Event> m_receivedEvents;
--- a/src/egretlatch/peer/peer_link.cpp
+++ b/src/egretlatch/peer/peer_link.cpp
@@ -49,8 +49,8 @@
     m_socket.set(zmq::sockopt::routing_id, m_options.routingId);
     m_socket.set(zmq::sockopt::reconnect_ivl, internal::noReconnection);
     m_socket.set(zmq::sockopt::connect_timeout, internal::connectTimeoutMs);
-    // A VM that fails, or a network that is cut, ends no connection; the heartbeat does. The other side sends none of its
-    // own: the time to live that goes with each tells it when to give up.
+    // A failed VM or a partitioned network does not close a connection, so heartbeats detect the loss. The remote end sends
+    // none of its own: it times the connection out by the time to live that each heartbeat carries.
     m_socket.set(zmq::sockopt::heartbeat_ivl, internal::heartbeatMs);
     m_socket.set(zmq::sockopt::heartbeat_timeout, internal::heartbeatTimeoutMs);
     m_socket.set(zmq::sockopt::heartbeat_ttl, internal::heartbeatTtlMs);
@@ -68,7 +68,7 @@
     m_socket.connect(m_options.endpoint);
     m_watch.add(m_socket, m_messageSource);
     m_watch.add(m_monitor, m_eventSource);
-    // The sender of a new pipe wakes its reader only once that has found the pipe empty.
+    // A new ZeroMQ pipe signals its reader only after the reader has once found it empty.
     static_cast<void>(update());
 }
 
@@ -152,7 +152,7 @@
         sendPending();
         return;
     }
-    // An open connection ends once; what follows its end says nothing new.
+    // Only the first event after the end changes the state; the following ones report the same loss.
     if (m_state == LinkState::open) {
         m_state = LinkState::lost;
     } else if (m_state == LinkState::opening) {
--- a/src/egretlatch/peer/peer_link.hpp
+++ b/src/egretlatch/peer/peer_link.hpp
@@ -16,53 +16,53 @@
 namespace egretlatch::peer
 {
 
-/*! @brief How far the connection of a link is. */
+/*! @brief State of the connection of a link. */
 enum class LinkState {
     opening,
     open,
-    /*! @brief It was open and is lost. */
+    /*! @brief The connection was open and has been lost. */
     lost,
-    /*! @brief It could not be opened; nothing has left. */
+    /*! @brief The connection could not be opened; nothing was sent. */
     failed,
 };
 
-/*! @brief A message that waits for its link to open. */
+/*! @brief Message queued until its link is open. */
 struct PendingMessage
 {
     std::string bytes;
-    /*! @brief Set for a request, which has to be told of if it does not leave. */
+    /*! @brief Set for a request, which must be reported if it is not sent. */
     std::optional<CallId> call;
 };
 
-/*! @brief Where a link leads and how it makes itself known. */
+/*! @brief Destination and identity of a link. */
 struct LinkOptions
 {
     DaemonId daemon;
     std::string endpoint;
     std::string routingId;
-    /*! @brief The daemon's own keys; nothing without encryption. */
+    /*! @brief Keys of the local daemon; nothing without encryption. */
     std::optional<settings::PeerKeys> keys;
-    /*! @brief Public key that the other side must have; empty without encryption. */
+    /*! @brief Public key that the remote daemon must have; empty without encryption. */
     std::string serverKey;
 };
 
 /**
- * @brief One connection to another daemon, from its opening to its loss.
+ * @brief Outgoing connection to another daemon, from opening to loss.
  *
- * Messages are handed to ZeroMQ only once the connection is open, and ZeroMQ never opens it a second time. Otherwise
- * they would wait in ZeroMQ's queue for a daemon that is down and reach its next life as if they were new; and one that
- * is told to have failed could still leave.
+ * Messages are handed to ZeroMQ only once the connection is open, and ZeroMQ never reconnects it. Otherwise they would
+ * stay in ZeroMQ's queue while a daemon is down and reach its next incarnation as if they were new, and a message already
+ * reported as failed could still be sent.
  */
 class PeerLink
 {
 public:
     /**
-     * @brief Begins to open a connection.
+     * @brief Starts opening a connection.
      * @param context Context of the sockets.
-     * @param watch Watches the sockets as long as the link lives; must outlive it.
-     * @param options Where it leads.
-     * @param number Unique among the links of the context.
-     * @throws zmq::error_t If the endpoint is none.
+     * @param watch Watches the sockets for the lifetime of the link; must outlive it.
+     * @param options Destination and identity of the link.
+     * @param number Number that is unique among the links of the context.
+     * @throws zmq::error_t If the endpoint is invalid.
      */
     PeerLink(zmq::context_t &context, SocketWatch &watch, LinkOptions options, std::uint64_t number);
     PeerLink(const PeerLink &) = delete;
@@ -70,10 +70,10 @@
     ~PeerLink();
 
     /**
-     * @brief Sends a message, or keeps it until the connection is open.
-     * @param message The message.
+     * @brief Sends a message, or queues it until the connection is open.
+     * @param message Message to send.
      * @param now Current time.
-     * @return False if there is no room for it; it will not leave then.
+     * @return False if the queue is full or the connection has ended; the message is then not sent.
      */
     [[nodiscard]] bool send(PendingMessage message, SteadyTime now);
 
@@ -86,8 +86,8 @@
     [[nodiscard]] bool receive(zmq::message_t &message, SteadyTime now);
 
     /**
-     * @brief Takes what ZeroMQ says of the connection, and sends what waited once it is open.
-     * @return The state now.
+     * @brief Processes ZeroMQ's monitor events of the connection, and sends the queued messages once it is open.
+     * @return The resulting state.
      */
     LinkState update();
 
@@ -95,15 +95,15 @@
     void noteAnswered() noexcept;
 
     /**
-     * @brief Says whether it can be closed.
+     * @brief Tells whether the link can be closed.
      * @param now Current time.
-     * @return True if it has not been used for some time and no answer is waited for.
+     * @return True if it has not been used for some time, which is longer while answers are outstanding.
      */
     [[nodiscard]] bool isIdle(SteadyTime now) const noexcept;
 
     /**
-     * @brief Takes the messages that have not left.
-     * @return The messages in order.
+     * @brief Takes the messages that have not been sent.
+     * @return The messages in the order of their send() calls.
      */
     [[nodiscard]] std::deque<PendingMessage> takeUnsent();
 
@@ -140,8 +140,8 @@
 };
 
 /**
- * @brief Sets what all sockets towards daemons have in common.
- * @param socket The socket.
+ * @brief Sets the options shared by all sockets that exchange messages with daemons.
+ * @param socket Socket to configure; must not be bound or connected yet.
  */
 void setCommonOptions(zmq::socket_t &socket);
 
--- a/src/egretlatch/peer/socket_watch.cpp
+++ b/src/egretlatch/peer/socket_watch.cpp
@@ -12,7 +12,7 @@
 namespace internal
 {
 
-// Taken from the kernel in one call; the descriptor stays readable for the rest.
+// Limits the events read by one epoll_wait call; the descriptor stays readable while more are left.
 constexpr int eventBatch = 64;
 
 } // namespace internal
--- a/src/egretlatch/peer/socket_watch.hpp
+++ b/src/egretlatch/peer/socket_watch.hpp
@@ -11,22 +11,22 @@
 namespace egretlatch::peer
 {
 
-/*! @brief Which socket has something to say. */
+/*! @brief Identifies a watched socket. */
 struct SocketSource
 {
-    /*! @brief The daemon that its link leads to; nothing for the socket that others connect to. */
+    /*! @brief Daemon at the remote end of the link; nothing for the socket that other daemons connect to. */
     std::optional<DaemonId> daemon;
-    /*! @brief Whether it tells of the connection, and not of messages. */
+    /*! @brief Tells whether the socket delivers monitor events of the connection rather than messages. */
     bool isMonitor{};
 };
 
 /**
- * @brief Watches many ZeroMQ sockets by one descriptor.
+ * @brief Watches many ZeroMQ sockets through one epoll descriptor.
  *
- * `zmq_poll` asks each socket in turn with each wake-up, which is a system call or two a socket: of the processor time of a
- * daemon with 35 sockets a fifth went there (`perf`, twelve daemons on loopback). A socket's own descriptor says that
- * something may have come, so only those that say so are looked at. What may have come is taken by any call on the socket,
- * a sending one too; the owner reads a socket until it is empty once it is connected, and after each use.
+ * `zmq_poll` queries every socket on each wake-up, at one or two system calls a socket: this took a fifth of the processor
+ * time of a daemon with 35 sockets (`perf`, twelve daemons on loopback). The descriptor of a socket signals that something
+ * may have arrived, so only signalled sockets are read. Any call on a socket, including a send, consumes that signal; the
+ * owner must therefore read a socket until it is empty after connecting it and after each use.
  */
 class SocketWatch
 {
@@ -38,21 +38,21 @@
 
     /**
      * @brief Watches a socket.
-     * @param socket The socket; must be removed before it is closed.
-     * @param source Given back by ready(); must outlive the watch of the socket.
+     * @param socket Socket to watch; must be removed before it is closed.
+     * @param source Returned by ready() for this socket; must stay valid until the socket is removed.
      */
     void add(zmq::socket_t &socket, SocketSource &source);
 
     void remove(zmq::socket_t &socket);
 
     /**
-     * @brief Lists the sockets that may have something.
+     * @brief Lists the sockets that may have something to read.
      * @return Their sources, valid until the next socket is removed.
      */
     [[nodiscard]] std::vector<SocketSource *> ready();
 
     /**
-     * @brief Gives the descriptor that is readable while ready() lists any.
+     * @brief Returns the descriptor that is readable while ready() lists any socket.
      * @return The descriptor, valid as long as this object.
      */
     [[nodiscard]] int descriptor() const noexcept
--- a/src/egretlatch/peer/stream_exchange.cpp
+++ b/src/egretlatch/peer/stream_exchange.cpp
@@ -11,9 +11,9 @@
 namespace internal
 {
 
-// At 750 daemons nobody can be connected to everybody: each connection costs descriptors and memory.
+// A full mesh is not affordable at 750 daemons: each connection costs descriptors and memory.
 constexpr std::size_t maxStreamLinks = 128;
-// Longer than this between two ticks, the process itself stood still, and what the others sent lies unread.
+// A longer gap between two ticks means that this process was paused and that received data is still unread.
 constexpr std::chrono::milliseconds maxTickGap{1000};
 constexpr std::string_view scheme{"tcp://"};
 
@@ -65,7 +65,7 @@
 void StreamExchange::beginIncarnation(const Incarnation incarnation)
 {
     m_incarnation = incarnation;
-    // Others hold a connection for that of one life.
+    // Other daemons bind each connection to one incarnation.
     for (const DaemonId &daemon : linkedDaemons()) {
         endLink(daemon, true);
     }
@@ -77,7 +77,7 @@
     m_ended.clear();
     const bool wasPaused = now - m_lastTick >= internal::maxTickGap;
     m_lastTick = now;
-    // A link may go while it is told of, so they are found anew by name.
+    // The callback may end links, so each one is looked up again by its daemon.
     for (const DaemonId &daemon : linkedDaemons()) {
         const auto found = m_links.find(daemon);
         if (found == m_links.end()) {
@@ -183,8 +183,8 @@
     if (known != m_senderByConnection.end()) {
         return known->second == sender;
     }
-    // The first message names the sender. A daemon whose connection broke opens another before the end of the old one is
-    // known, and waits for its answers on the newest.
+    // The first message identifies the sender. After a broken connection a daemon may open another before the end of the old
+    // one is detected, and expects its answers on the newest.
     m_senderByConnection.emplace(connection.number(), sender);
     m_connectionBySender.insert_or_assign(sender, connection.number());
     return true;
@@ -211,7 +211,7 @@
 {
     const auto number = m_connectionBySender.find({action.to, receiverIncarnation});
     if (number == m_connectionBySender.end()) {
-        // The daemon that asked has gone, or its connection has; nobody is there to take the answer.
+        // The requesting daemon or its connection is gone, so the answer cannot be delivered.
         m_metrics.count("messages_dropped", "receiver-gone");
         return;
     }
@@ -231,7 +231,7 @@
         return nullptr;
     }
     if (found != m_links.end()) {
-        // The VM was replaced and its daemon has another address now; nothing will come from the old one.
+        // The VM was replaced and its daemon has a new address; nothing more arrives from the old one.
         endLink(daemon, true);
     }
     if (m_links.size() >= internal::maxStreamLinks && !evictLeastRecentlyUsed()) {
--- a/src/egretlatch/peer/stream_exchange.hpp
+++ b/src/egretlatch/peer/stream_exchange.hpp
@@ -23,53 +23,53 @@
 {
 
 /**
- * @brief Exchanges messages with other daemons over TCP connections in the owner's own event loop.
+ * @brief Exchanges messages with other daemons over TCP connections in the owner's event loop.
  *
- * Does what PeerExchange does over ZeroMQ, for VMs where processor time is dear and the network is the platform's own: no
- * thread of its own, so a message costs one wake-up and one system call on each side. Requests leave by a link to each
- * daemon, opened when first needed; answers go back by the connection that the request came in by.
+ * Replaces PeerExchange, which uses ZeroMQ, on VMs where processor time is scarce and the network belongs to the platform.
+ * It has no thread of its own, so a message costs one wake-up and one system call on each side. Requests are sent over one
+ * link for each daemon, opened on first use; answers go back over the connection that the request arrived on.
  */
 class StreamExchange final : private StreamLinkListener, private InboundConnectionListener
 {
 public:
-    /*! @brief Takes what came; may call send(). */
+    /*! @brief Receives the events of the exchange; may call send(). */
     using EventCallback = std::function<void(decision::Event)>;
 
     /**
-     * @brief Builds an exchange that speaks to nobody yet.
-     * @param poller Watches the connections; must outlive it.
-     * @param clock Source of time; must outlive it.
-     * @param self This daemon.
-     * @param incarnation Its life.
-     * @param receiver Takes messages, lost links and requests that did not leave; also from within send().
-     * @param metrics Takes counts of dropped messages; must outlive it.
+     * @brief Builds an exchange without connections.
+     * @param poller Watches the connections; must outlive the exchange.
+     * @param clock Source of time; must outlive the exchange.
+     * @param self Id of this daemon.
+     * @param incarnation Incarnation of this daemon.
+     * @param callback Receives messages, lost links and unsent requests; also called from within send().
+     * @param metrics Receives counts of dropped messages; must outlive the exchange.
      */
     StreamExchange(net::Poller &poller, const Clock &clock, DaemonId self, Incarnation incarnation, EventCallback callback, account::MetricsSink &metrics);
 
     /**
-     * @brief Listens where others connect to.
-     * @param endpoint Address.
-     * @return Nothing, or `unavailable` if the address cannot be had.
+     * @brief Starts listening for connections of other daemons.
+     * @param endpoint Address to listen on.
+     * @return Nothing, or `unavailable` if the address cannot be bound.
      */
     [[nodiscard]] Result<void> start(const net::Endpoint &endpoint);
 
     /**
-     * @brief Sends a message, now or once the link is open.
-     * @param order The message; a request that cannot leave is told of as SendFailed.
+     * @brief Sends a message, immediately or once the link is open.
+     * @param action Message and receiver; a request that cannot be sent is reported as SendFailed.
      */
     void send(const decision::SendToPeer &action);
 
     /**
-     * @brief Goes on under another incarnation; connections that were opened under the one before end.
-     * @param incarnation The incarnation.
+     * @brief Continues under a new incarnation; closes the links opened under the previous one.
+     * @param incarnation New incarnation of this daemon.
      */
     void beginIncarnation(Incarnation incarnation);
 
-    /*! @brief Closes what is unused or silent; to be called some times a second. */
+    /*! @brief Closes unused and unresponsive connections; to be called several times a second. */
     void tick();
 
 private:
-    /*! @brief Who opened a connection: a daemon in one of its lives. */
+    /*! @brief Opener of a connection: a daemon and its incarnation. */
     using Sender = std::pair<DaemonId, Incarnation>;
 
     void onMessage(StreamLink &link, const QByteArray &message) override;
@@ -95,10 +95,10 @@
     GossipTraffic m_gossipTraffic;
     net::TcpAcceptor m_acceptor;
     std::map<DaemonId, std::unique_ptr<StreamLink>> m_links;
-    /*! @brief Links that are over; kept until the next tick, since one may be ended while it delivers a message. */
+    /*! @brief Ended links; destroyed at the next tick, since a link may be ended while it delivers a message. */
     std::vector<std::unique_ptr<StreamLink>> m_ended;
     std::map<std::uint64_t, std::unique_ptr<InboundConnection>> m_inboundConnections;
-    /*! @brief The newest connection of each sender, by its number, and the sender of each connection. */
+    /*! @brief Number of the newest connection of each sender, and the sender of each connection. */
     std::map<Sender, std::uint64_t> m_connectionBySender;
     std::map<std::uint64_t, Sender> m_senderByConnection;
     std::uint64_t m_lastInboundNumber{};
--- a/src/egretlatch/peer/stream_link.cpp
+++ b/src/egretlatch/peer/stream_link.cpp
@@ -7,15 +7,15 @@
 {
 
 constexpr std::size_t maxPendingMessages = 1000;
-// Bytes that the other side has not taken; beyond them it stands still, and what is sent to it would only be late.
+// Limits the bytes that the remote end has not read yet; beyond it the remote end is stalled, and further messages would arrive too late.
 constexpr qsizetype maxUnsentBytes = qsizetype{8} * 1024 * 1024;
-// A connection across a region opens within a tenth of a second, with a lost packet within little more than one.
+// A connection across a region opens within 100 ms, or in little more than 1 s if a packet is lost.
 constexpr std::chrono::milliseconds connectTimeout{2000};
-// Answers take some hundreds of milliseconds, and a sign of life in between costs two small messages.
+// Answers take some hundreds of milliseconds; a keepalive in between costs two small messages.
 constexpr std::chrono::milliseconds pingAfter{500};
-// A daemon that is short of processor time, or a way that loses packets, is heard of within this time.
+// Data from a daemon short of processor time, or across a network path that loses packets, arrives within this time.
 constexpr std::chrono::milliseconds maxSilence{2500};
-// Gossip comes back to each daemon of a hundred within so long, and a connection kept costs less than new ones.
+// Gossip contacts each of a hundred daemons again within this time, and keeping a connection costs less than reopening it.
 constexpr std::chrono::seconds maxUnused{60};
 
 } // namespace internal
@@ -46,7 +46,7 @@
     m_awaitingSince = m_awaitingSince.value_or(now);
     m_unanswered += message.call.has_value() ? 1 : 0;
     if (!m_wasOpen) {
-        // Not handed to the stream before it is open, so what did not leave is known.
+        // Handing messages to the stream only once it is open keeps the unsent ones known.
         m_pending.push_back(std::move(message));
         return true;
     }
--- a/src/egretlatch/peer/stream_link.hpp
+++ b/src/egretlatch/peer/stream_link.hpp
@@ -16,43 +16,43 @@
 
 class StreamLink;
 
-/*! @brief Takes what happens on a link. */
+/*! @brief Receives the events of a link. */
 class StreamLinkListener
 {
 public:
     virtual ~StreamLinkListener() = default;
 
     /**
-     * @brief A message came.
-     * @param link The link.
-     * @param message Its bytes.
+     * @brief Handles a received message.
+     * @param link Link that it arrived on.
+     * @param message Encoded message.
      */
     virtual void onMessage(StreamLink &link, const QByteArray &message) = 0;
 
     /**
-     * @brief The link ended; it must outlive the call.
-     * @param link The link.
-     * @param wasOpen Whether messages may have left by it.
+     * @brief Handles the end of a link, which must outlive the call.
+     * @param link Link that ended.
+     * @param wasOpen True if messages may have been sent over it.
      */
     virtual void onLinkEnded(StreamLink &link, bool wasOpen) = 0;
 };
 
 /**
- * @brief One connection to another daemon, from its opening to its end; it is never opened a second time.
+ * @brief Outgoing connection to another daemon, from opening to end; it is never reopened.
  *
- * Guards against a connection that falls silent without an end, as one across a cut network does: callers would wait on it
- * for all their time, and so would those after them. It shows as nothing heard after something was sent; the other side is
- * then asked for a sign of life, and without one the link ends. One that lives answers at once, whatever its load, since
- * that asks nothing of its server.
+ * Detects a connection that stops responding without being closed, as happens in a network partition: callers would wait
+ * on it until their deadlines, and so would later ones. If nothing is received after a send, a keepalive request is sent,
+ * and the link ends if that stays unanswered. A running daemon answers it immediately under any load, since its backend
+ * server is not involved.
  */
 class StreamLink final : private net::StreamListener
 {
 public:
-    /*! @brief A message that waits for the connection to open. */
+    /*! @brief Message queued until the connection is open. */
     struct PendingFrame
     {
         QByteArray frame;
-        /*! @brief Set for a request, which has to be told of if it does not leave. */
+        /*! @brief Set for a request, which must be reported if it is not sent. */
         std::optional<CallId> call;
     };
 
@@ -60,51 +60,51 @@
      * @brief Builds a link that is not opened yet.
      * @param poller Watches the connection; must outlive the link.
      * @param clock Source of time; must outlive the link.
-     * @param listener Takes messages and the end; must outlive the link.
-     * @param daemon Where it leads.
-     * @param endpoint Its address.
+     * @param listener Receives the messages and the end of the link; must outlive the link.
+     * @param daemon Daemon at the remote end.
+     * @param endpoint Address of that daemon.
      */
     StreamLink(net::Poller &poller, const Clock &clock, StreamLinkListener &listener, DaemonId daemon, net::Endpoint endpoint);
 
     /**
-     * @brief Begins to open it.
-     * @return False if the machine refuses even to try.
+     * @brief Starts opening the connection.
+     * @return False if the operating system rejects the attempt at once.
      */
     [[nodiscard]] bool open();
 
     /**
-     * @brief Sends a message, now or once the connection is open.
-     * @param message The message.
+     * @brief Sends a message, immediately or once the connection is open.
+     * @param message Message to send.
      * @param now Current time.
-     * @return False if there is no room for it; it will not leave then.
+     * @return False if the queue or the send buffer is full or the link has ended; the message is then not sent.
      */
     [[nodiscard]] bool send(PendingFrame message, SteadyTime now);
 
     /**
-     * @brief Asks for a sign of life where one is missing, and ends the link where none comes; may destroy it.
+     * @brief Sends a keepalive request when the remote end is silent, and ends the link when it stays silent; may destroy the link.
      * @param now Current time.
      */
     void tick(SteadyTime now);
 
-    /*! @brief Closes it without telling of it. */
+    /*! @brief Closes the link without notifying the listener. */
     void close();
 
     /*! @brief Counts a request as answered. */
     void noteAnswered() noexcept;
 
-    /*! @brief Forgets how long nothing was heard: this process itself stood still. */
+    /*! @brief Restarts the measurement of silence at the given time, after a pause of this process. */
     void resetSilence(SteadyTime now);
 
     /**
-     * @brief Says whether it can be closed.
+     * @brief Tells whether the link can be closed.
      * @param now Current time.
-     * @return True if it has not been used for some time.
+     * @return True if it has not been used for some time and nothing is expected from the remote end.
      */
     [[nodiscard]] bool isIdle(SteadyTime now) const noexcept;
 
     /**
-     * @brief Takes the requests that have not left.
-     * @return Their calls in order.
+     * @brief Takes the requests that have not been sent.
+     * @return Their call ids in the order of their send() calls.
      */
     [[nodiscard]] std::vector<CallId> takeUnsent();
 
@@ -123,7 +123,7 @@
         return m_lastUse;
     }
 
-    /*! @brief Whether something is to be heard: an answer, or anything since something was sent. */
+    /*! @brief Tells whether something is expected from the remote end: an outstanding answer, or any data after a send. */
     [[nodiscard]] bool isAwaitingReply() const noexcept
     {
         return m_awaitingSince.has_value();
@@ -147,7 +147,7 @@
     SteadyTime m_openedAt;
     SteadyTime m_lastUse;
     std::uint64_t m_unanswered{};
-    /*! @brief Since when something is to be heard. */
+    /*! @brief Time since which data has been expected from the remote end; nothing while none is expected. */
     std::optional<SteadyTime> m_awaitingSince;
     SteadyTime m_lastPing;
 };
--- a/src/egretlatch/protocol/call_codec.cpp
+++ b/src/egretlatch/protocol/call_codec.cpp
@@ -1,4 +1,4 @@
-// The part of the codec that puts calls and their answers into messages and back.
+// Conversion of calls and their answers between C++ and protobuf messages.
 
 #include <egretlatch/protocol/codec_parts.hpp>
 
@@ -57,10 +57,10 @@
 {
     const auto root = Uuid::fromBytes(wire.root());
     if (!root.has_value()) {
-        return tl::unexpected{Error{ErrorCode::malformed, "a call without a root"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "call request without a valid root id"}};
     }
     if (wire.attempts_lent() < 0 || wire.depth() < 0 || !std::isfinite(wire.rank().worth())) {
-        return tl::unexpected{Error{ErrorCode::malformed, "a call with a number out of range"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "call request with a negative attempts_lent or depth, or with a worth that is not finite"}};
     }
     CallRequest request;
     request.call = {wire.call()};
@@ -105,7 +105,7 @@
     const auto id = Uuid::fromBytes(wire.id());
     const auto reason = account::refusalReasonFromString(wire.reason());
     if (!id.has_value() || !reason.has_value()) {
-        return tl::unexpected{Error{ErrorCode::malformed, "a refusal without an id or a known reason"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "refusal without a valid id or with an unknown reason"}};
     }
     account::Refusal refusal;
     refusal.id = *id;
@@ -166,7 +166,7 @@
     return wire::VERDICT_MAY_HAVE_RUN;
 }
 
-// A verdict that this version does not know is read as the one that promises nothing.
+// Reads an unknown verdict as the weakest one, may-have-run, which guarantees nothing.
 [[nodiscard]] static Verdict fromWire(const wire::Verdict verdict)
 {
     if (verdict == wire::VERDICT_COMPLETED) {
@@ -184,7 +184,7 @@
 
 admission::KindPace read(const wire::Pace &wire)
 {
-    // What lies outside the bounds, or is no number, is taken as the nearest bound.
+    // Clamps values to their bounds; a NaN becomes the lower bound.
     const double failing = wire.failing() > 0.0 ? std::min(wire.failing(), 1.0) : 0.0;
     return {.kind = wire.kind(), .own = std::max(Duration{wire.own_ns()}, Duration{}), .failing = failing};
 }
--- a/src/egretlatch/protocol/codec.cpp
+++ b/src/egretlatch/protocol/codec.cpp
@@ -12,7 +12,8 @@
 namespace internal
 {
 
-// The library prints a line on standard error for each malformed message, so a stranger could fill the log.
+// Silences protobuf, which prints a line on standard error for each malformed message: any process that can connect could
+// fill the log.
 static google::protobuf::LogHandler *const previousLogHandler = google::protobuf::SetLogHandler(nullptr);
 
 static void write(const configuration::Advert &advert, wire::ConfigurationAdvert &wire)
@@ -100,7 +101,7 @@
     case wire::Envelope::BODY_NOT_SET:
         break;
     }
-    return tl::unexpected{Error{ErrorCode::malformed, "an envelope without a message"}};
+    return tl::unexpected{Error{ErrorCode::malformed, "envelope without a known message"}};
 }
 
 } // namespace internal
@@ -119,13 +120,14 @@
 {
     wire::Envelope wire;
     if (!wire.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-        return tl::unexpected{Error{ErrorCode::malformed, "bytes that are not an envelope"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "bytes are not a valid protobuf Envelope"}};
     }
     if (wire.protocol_version() != protocolVersion) {
-        return tl::unexpected{Error{ErrorCode::wrongVersion, fmt::format("protocol version {}, not {}", wire.protocol_version(), protocolVersion)}};
+        return tl::unexpected{
+            Error{ErrorCode::wrongVersion, fmt::format("protocol version {} is not supported, expected {}", wire.protocol_version(), protocolVersion)}};
     }
     if (wire.sender().empty()) {
-        return tl::unexpected{Error{ErrorCode::malformed, "an envelope without a sender"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "envelope without a sender"}};
     }
     Result<Message> message = internal::readBody(wire);
     if (!message.has_value()) {
--- a/src/egretlatch/protocol/codec.hpp
+++ b/src/egretlatch/protocol/codec.hpp
@@ -11,19 +11,19 @@
 namespace egretlatch::protocol
 {
 
-/*! @brief Version of the messages between daemons; a daemon reads no other. */
+/*! @brief Version of the protocol between daemons; a message of any other version is rejected. */
 constexpr std::uint32_t protocolVersion = 1;
 
 /**
  * @brief Encodes a message.
- * @param envelope The message with its sender.
- * @return The bytes of a protobuf Envelope.
+ * @param envelope Message with its sender.
+ * @return Bytes of a protobuf Envelope.
  */
 [[nodiscard]] std::string encode(const Envelope &envelope);
 
 /**
  * @brief Decodes a message.
- * @param bytes Bytes from another daemon; anything may stand there.
+ * @param bytes Untrusted bytes received from another daemon.
  * @return The message; `malformed` or `wrongVersion` otherwise.
  */
 [[nodiscard]] Result<Envelope> decode(std::string_view bytes);
--- a/src/egretlatch/protocol/codec_parts.hpp
+++ b/src/egretlatch/protocol/codec_parts.hpp
@@ -49,7 +49,7 @@
     return headers;
 }
 
-/*! @brief Calls, in call_codec.cpp. */
+/*! @brief Converts calls, their answers and paces; defined in call_codec.cpp. */
 void write(const CallRequest &request, wire::CallRequest &wire);
 [[nodiscard]] Result<Message> read(const wire::CallRequest &wire);
 void write(const CallAnswer &answer, wire::CallAnswer &wire);
@@ -57,7 +57,7 @@
 void write(const admission::KindPace &pace, wire::Pace &wire);
 [[nodiscard]] admission::KindPace read(const wire::Pace &wire);
 
-/*! @brief News of the fleet, in fleet_codec.cpp. */
+/*! @brief Converts gossip; defined in fleet_codec.cpp. */
 void write(const Gossip &gossip, wire::Gossip &wire);
 [[nodiscard]] Result<Message> read(const wire::Gossip &wire);
 
--- a/src/egretlatch/protocol/fleet_codec.cpp
+++ b/src/egretlatch/protocol/fleet_codec.cpp
@@ -1,4 +1,4 @@
-// The part of the codec that puts news of the fleet into messages and back.
+// Conversion of gossip between C++ and protobuf messages.
 
 #include <egretlatch/protocol/codec_parts.hpp>
 
@@ -25,7 +25,7 @@
 [[nodiscard]] static Result<membership::Member> read(const wire::Member &wire)
 {
     if (wire.id().empty() || !wire::MemberState_IsValid(wire.state())) {
-        return tl::unexpected{Error{ErrorCode::malformed, "a member without an id or with an unknown state"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "member without an id or with an unknown state"}};
     }
     return membership::Member{
         .id = {wire.id()},
@@ -78,7 +78,7 @@
     wire.set_remaining_ns(rumour.remaining.count());
 }
 
-// Nothing for a kind of rumour that this version does not know, so that a later version may add kinds.
+// Returns nothing for an unknown kind of rumour, so that a later version can add kinds.
 [[nodiscard]] static std::optional<membership::Rumour> read(const wire::Rumour &wire)
 {
     const std::optional<membership::RumourKind> kind = fromWire(wire.kind());
@@ -123,7 +123,7 @@
 Result<Message> read(const wire::Gossip &wire)
 {
     if (!wire::GossipPurpose_IsValid(wire.purpose())) {
-        return tl::unexpected{Error{ErrorCode::malformed, "gossip with an unknown purpose"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "gossip message with an unknown purpose"}};
     }
     Gossip gossip;
     gossip.purpose = static_cast<membership::GossipPurpose>(wire.purpose());
--- a/src/egretlatch/protocol/messages.hpp
+++ b/src/egretlatch/protocol/messages.hpp
@@ -24,7 +24,7 @@
 namespace egretlatch::protocol
 {
 
-/*! @brief One attempt of a call, from the daemon that makes it to the serving daemon. */
+/*! @brief Attempt of a call, sent by the daemon that makes it to the serving daemon. */
 struct CallRequest
 {
     /*! @brief Unique within the sender's incarnation. */
@@ -33,81 +33,81 @@
     std::string service;
     std::string kind;
     std::string method;
-    /*! @brief Path and query at the backend server, as the caller gave them. */
+    /*! @brief Path and query for the backend server, as given by the caller. */
     std::string path;
     Headers headers;
     QByteArray body;
-    /*! @brief The caller's idempotency key; empty if it gave none. */
+    /*! @brief Idempotency key of the caller; empty if it gave none. */
     std::string key;
-    /*! @brief What the caller calls its request; may be empty. */
+    /*! @brief Name that the caller gave to its request; may be empty. */
     std::string requestName;
-    /*! @brief Time left when the message was sent; counted from its arrival by the receiver. */
+    /*! @brief Time left until the deadline when the message was sent; the receiver counts it from the arrival. */
     Duration remaining{};
     account::TraceContext trace;
     admission::Rank rank;
-    /*! @brief What the root takes at each service of its chain, as far as its entry knew. */
+    /*! @brief Cost of the root request at each service of its chain, as far as known to its entry daemon. */
     admission::RootCosts rootCosts;
-    /*! @brief Further attempts that the run may spend on its inner calls. */
+    /*! @brief Further attempts lent to the run for its inner calls. */
     int attemptsLent{};
-    /*! @brief 0 for a root's first call, 1 for the calls that it makes, and so on. */
+    /*! @brief Depth in the call tree: 0 for the first call of a root, 1 for the calls that it makes, and so on. */
     int depth{};
-    /*! @brief A backend server may have had it before, or it is a call of a run of which that is true. */
+    /*! @brief Tells whether a backend server may have received the request before, or whether this holds for the run that makes the call. */
     bool isRepeat{};
-    /*! @brief Life of the daemon that the request is meant for; another one does not run it. */
+    /*! @brief Incarnation of the daemon that the request is addressed to; a daemon with another incarnation does not run it. */
     Incarnation receiver;
-    /*! @brief What the keys of the run's inner calls are derived from, as RequestKey text. */
+    /*! @brief Scope from which the keys of the run's inner calls are derived, as RequestKey text. */
     std::string scope;
-    /*! @brief Whether it is meant for the owner of the key, which makes the attempts, rather than for a backend server. */
+    /*! @brief Tells whether it is addressed to the owner of the key, which makes the attempts, rather than to a backend server. */
     bool forOwner{};
 
     friend bool operator==(const CallRequest &, const CallRequest &) = default;
 };
 
-/*! @brief The level of a service as a whole. */
+/*! @brief Admission level of a service as a whole. */
 struct ServiceLevel
 {
     std::string service;
     admission::Level level;
-    /*! @brief Time since the level stood, summed over the daemons that passed it on. */
+    /*! @brief Time since the level was current, accumulated by the daemons that forwarded it. */
     Duration age{};
 
     friend bool operator==(const ServiceLevel &, const ServiceLevel &) = default;
 };
 
-/*! @brief The end of one attempt, from the serving daemon to the one that made it. */
+/*! @brief Result of one attempt, sent by the serving daemon to the daemon that made it. */
 struct CallAnswer
 {
     CallId call;
-    /*! @brief Incarnation of the daemon that the answer is for. */
+    /*! @brief Incarnation of the daemon that the answer is addressed to. */
     Incarnation receiver;
-    /*! @brief Speaks of this attempt alone; from the owner of a key, of the key. */
+    /*! @brief Verdict of this attempt alone; from the owner of a key, the verdict of the key. */
     Verdict verdict{Verdict::mayHaveRun};
     int status{};
     Headers headers;
     QByteArray body;
     std::optional<account::Refusal> refusal;
-    /*! @brief Whether a refused attempt was handed to the backend server all the same. */
+    /*! @brief Tells whether a refused attempt was nevertheless passed to the backend server. */
     bool hasReachedServer{};
-    /*! @brief Whether an inner call of the run brought no good answer, so that its failure may not be the server's own. */
+    /*! @brief Tells whether an inner call of the run failed, so that the failure of the run may not be caused by the server itself. */
     bool hasFailedBelow{};
     admission::LoadReport load;
-    /*! @brief Part of the lent attempts that was not spent. */
+    /*! @brief Lent attempts that were not used. */
     int attemptsReturned{};
-    /*! @brief Slot time that the run and its inner calls took. */
+    /*! @brief Slot time used by the run and its inner calls. */
     Duration slotTime{};
-    /*! @brief Key that a resend after `not-run` is to use; empty if there is none. */
+    /*! @brief Key for a resend after `not-run`; empty if there is none. */
     std::string nextKey;
-    /*! @brief Levels at services further down, as far as the serving daemon has been told. */
+    /*! @brief Levels of services further down the chain, as far as known to the serving daemon. */
     std::vector<ServiceLevel> levels;
-    /*! @brief What a request of the kind takes at the services down its chain; told now and then. */
+    /*! @brief Slot time that a request of the kind uses at each service down its chain; included only in some answers. */
     admission::ChainStops chain;
-    /*! @brief How fast the backend server is at the kind that was called, if that is known. */
+    /*! @brief Pace of the backend server for the kind that was called, if known. */
     std::optional<admission::KindPace> pace;
 
     friend bool operator==(const CallAnswer &, const CallAnswer &) = default;
 };
 
-/*! @brief Says that nobody waits for an attempt any more. */
+/*! @brief Cancels an attempt whose answer is no longer needed. */
 struct CallCancel
 {
     CallId call;
@@ -115,12 +115,12 @@
     friend bool operator==(const CallCancel &, const CallCancel &) = default;
 };
 
-/*! @brief News of members and of other small facts. */
+/*! @brief Gossip about members, suspicions, rumours and paces. */
 using Gossip = membership::GossipMessage;
 
 using Message = std::variant<CallRequest, CallAnswer, CallCancel, Gossip, configuration::Advert, configuration::BodyRequest, configuration::BodyReply>;
 
-/*! @brief A message with its sender. */
+/*! @brief Message with its sender. */
 struct Envelope
 {
     DaemonId sender;
--- a/test/egretlatch/peer/frame_reader.cpp
+++ b/test/egretlatch/peer/frame_reader.cpp
@@ -5,9 +5,9 @@
 
 using namespace egretlatch;
 
-TEST_CASE("messages come out whole and in order, however their bytes were cut")
+TEST_CASE("messages are read complete and in order, however their bytes are split")
 {
-    rc::check("any messages, any cuts", [](const std::vector<std::string> &messages, const std::vector<std::uint8_t> &cuts) {
+    rc::check("any messages, split at any positions", [](const std::vector<std::string> &messages, const std::vector<std::uint8_t> &cuts) {
         QByteArray stream;
         for (const std::string &message : messages) {
             stream += peer::encodeFrame(message);
@@ -31,10 +31,10 @@
     });
 }
 
-TEST_CASE("a length that no message has ends the reading")
+TEST_CASE("a length above the limit ends the reading")
 {
-    // Something else than a daemon connects, an HTTP client perhaps: its first bytes read as a length of a gigabyte, and
-    // waiting for so many would hold memory until the process is killed.
+    // The first bytes of another kind of client, such as an HTTP client, decode as a length of a gigabyte. Waiting for that
+    // much data would buffer it until the process is killed.
     peer::FrameReader reader;
     reader.add("GET / HTTP/1.1\r\n");
     CHECK(!reader.next().has_value());
--- a/test/egretlatch/peer/peer_exchange.cpp
+++ b/test/egretlatch/peer/peer_exchange.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-// Only keeps a broken run from hanging.
+// Prevents a failing test from hanging.
 constexpr int pollTimeoutMs = 30'000;
 
 [[nodiscard]] std::string freeEndpoint()
@@ -27,7 +27,7 @@
     return fmt::format("tcp://127.0.0.1:{}", server.serverPort());
 }
 
-// A daemon that answers each request at once and sends the next one with each answer.
+// Daemon that answers each request at once and sends the next request on each answer.
 struct Daemon
 {
     explicit Daemon(const std::string &id)
@@ -41,7 +41,7 @@
         , endpoint{freeEndpoint()}
     {
         REQUIRE(exchange.start(endpoint).has_value());
-        // The first call looks at all sockets, the next ones do so a second later.
+        // The first call reads all sockets; a later one does so only after a second.
         exchange.processSockets();
     }
 
@@ -77,7 +77,7 @@
     int answers{};
 };
 
-// Works for whoever has something to do; nothing that came may wait for a later reason to look.
+// Processes the exchanges whose descriptors are readable. Everything received must be signalled, not found by a later read.
 [[nodiscard]] bool processOnce(Daemon &one, Daemon &two)
 {
     std::array<pollfd, 2> watched{
@@ -96,10 +96,10 @@
 
 } // namespace
 
-TEST_CASE("each message that comes makes the descriptor readable, or is read by the settling after a send")
+TEST_CASE("each received message makes the descriptor readable, or is read by processPending() after a send")
 {
-    // The first requests on a new link took up to a second: what ZeroMQ had to say of the link lay unread until the next
-    // round through all sockets, as its descriptor had never been made to tell.
+    // Guards against a delay of up to a second for the first requests on a new link: the ZeroMQ events of the link stayed
+    // unread until the next pass over all sockets, as its descriptor never signalled them.
     Daemon one{"one"};
     Daemon two{"two"};
     one.other = two.endpoint;
--- a/test/egretlatch/peer/stream_exchange.cpp
+++ b/test/egretlatch/peer/stream_exchange.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-// Built before anything that watches sockets.
+// Creates the application object, which must precede anything that watches sockets.
 struct Application
 {
     Application()
@@ -37,7 +37,7 @@
     return server.serverPort();
 }
 
-// A daemon that keeps all that it is told of, and answers requests where it is told to.
+// Daemon that records all events, and answers requests if `answers` is set.
 struct Daemon : Application
 {
     explicit Daemon(const std::string &id, const std::uint64_t incarnation = 1, const std::uint16_t listenAt = freePort())
@@ -118,7 +118,7 @@
 
 } // namespace
 
-TEST_CASE("requests reach a daemon, and each answer goes back by the connection that its request came by")
+TEST_CASE("requests reach a daemon, and each answer goes back over the connection of its request")
 {
     Daemon one{"one"};
     Daemon two{"two"};
@@ -133,10 +133,10 @@
     CHECK(one.lost.empty());
 }
 
-TEST_CASE("a request that no connection was made for is told of as never sent")
+TEST_CASE("a request is reported as unsent if no connection could be opened")
 {
-    // A launch entry is refused as perhaps run although its daemon was down all the while, and its caller may not send it
-    // again. What waits for a connection has not left, and is told of one by one.
+    // Guards against a launch entry answered as may-have-run, which its caller may not resend, although its daemon was down
+    // throughout. Requests that wait for a connection were not sent, and are reported one by one.
     Daemon one{"one"};
     one.requestAt("nobody", fmt::format("tcp://127.0.0.1:{}", freePort()), 1);
     one.requestAt("nobody", "tcp://no-address", 2);
@@ -146,7 +146,7 @@
     CHECK(one.lost == std::vector<bool>{false});
 }
 
-TEST_CASE("the end of a connection is told of, and the next request opens another one")
+TEST_CASE("the end of a connection is reported, and the next request opens another one")
 {
     Daemon one{"one"};
     const std::uint16_t port = freePort();
@@ -171,7 +171,7 @@
     CHECK(again.requests == std::vector<std::uint64_t>{2});
 }
 
-TEST_CASE("a daemon that goes on under a higher life is heard under it, and the connections of the life before end")
+TEST_CASE("a daemon that begins a higher incarnation sends under it, and its links of the previous incarnation end")
 {
     Daemon entry{"entry"};
     Daemon serving{"serving"};
@@ -191,10 +191,10 @@
     CHECK(serving.senderIncarnations == std::vector<std::uint64_t>{1, 2});
 }
 
-TEST_CASE("a connection that falls silent is given up, and one whose daemon is only slow is not")
+TEST_CASE("an unresponsive connection is closed, and that of a daemon that is only slow is not")
 {
-    // Requests of one VM to another wait for all their time, one after the other, while the second VM is well: their
-    // connection lies across a network that was cut, and neither side was told.
+    // Guards against requests that each wait until their deadline although the serving VM is healthy: a network partition
+    // cut their connection, and neither end was notified.
     Daemon one{"one"};
     QTcpServer silent;
     REQUIRE(silent.listen(QHostAddress::LocalHost, 0));
@@ -213,7 +213,7 @@
     slow.answers = false;
     for (std::uint64_t call = 2; call < 20; ++call) {
         one.request(slow, call);
-        // The sign of life that the last tick asked for is there once what was sent after it has come.
+        // The answer to the keepalive of the last tick has arrived once the request sent after it has been received.
         REQUIRE(fakes::runUntil([&slow, call] {
             return slow.requests.size() == call - 1;
         }));
@@ -225,10 +225,10 @@
     CHECK(one.lost.size() == 1);
 }
 
-TEST_CASE("a daemon that stood still itself does not blame its connections")
+TEST_CASE("a daemon that was paused itself keeps its connections")
 {
-    // A paused daemon wakes to find that nothing was heard for seconds, although the answers lie unread, and answers each
-    // launch entry under way as perhaps run.
+    // A daemon that resumes after a pause has received nothing for seconds, although answers may be waiting unread. Closing
+    // its links then would answer each launch entry in flight as may-have-run.
     Daemon one{"one"};
     Daemon two{"two"};
     two.answers = false;
@@ -241,7 +241,7 @@
     CHECK(one.lost.empty());
 }
 
-TEST_CASE("what is no message of a daemon ends its connection and harms nobody")
+TEST_CASE("data that is not a daemon message ends its connection and leaves other connections intact")
 {
     Daemon one{"one"};
     QTcpSocket stranger;
--- a/test/egretlatch/protocol/codec.cpp
+++ b/test/egretlatch/protocol/codec.cpp
@@ -101,7 +101,7 @@
 
 } // namespace
 
-TEST_CASE("each message survives the way over the wire")
+TEST_CASE("each message is unchanged after encoding and decoding")
 {
     for (const Envelope &envelope : allMessages()) {
         const Result<Envelope> decoded = decode(encode(envelope));
@@ -116,7 +116,7 @@
     CHECK(decode("\x01\x02").error().code == ErrorCode::malformed);
 }
 
-TEST_CASE("another version of the protocol is told from bad bytes")
+TEST_CASE("another protocol version is distinguished from malformed bytes")
 {
     std::string bytes = encode(allMessages().front());
     REQUIRE(bytes[0] == '\x08');
@@ -124,14 +124,14 @@
     CHECK(decode(bytes).error().code == ErrorCode::wrongVersion);
 }
 
-TEST_CASE("any bytes are decoded or refused, without more")
+TEST_CASE("arbitrary bytes are decoded or rejected without a crash")
 {
     CHECK(rc::check([](const std::string &bytes) {
         static_cast<void>(decode(bytes));
     }));
 }
 
-TEST_CASE("a damaged message is decoded or refused, without more")
+TEST_CASE("a damaged message is decoded or rejected without a crash")
 {
     CHECK(rc::check([] {
         const std::vector<Envelope> messages = allMessages();
