--- a/src/egretlatch/protocol/messages.hpp
+++ b/src/egretlatch/protocol/messages.hpp
@@ -100,7 +100,7 @@
     /*! @brief Levels of services further down the chain, as far as known to the serving daemon. */
     std::vector<ServiceLevel> levels;
     /*! @brief Slot time that a request of the kind uses at each service down its chain; included only in some answers. */
-    admission::ChainStops chain;
+    admission::SlotTimeByService chain;
     /*! @brief Pace of the backend server for the kind that was called, if known. */
     std::optional<admission::KindPace> pace;
 
