--- a/src/egretlatch/admission/adaptive_gate.cpp
+++ b/src/egretlatch/admission/adaptive_gate.cpp
@@ -15,10 +15,10 @@
 constexpr int innerQueueFactor = 8;
 // Multiples of the aimed drain time that a request may wait at most. An inner call that waits holds the slots of all runs
 // above it, which others could use.
-constexpr int longestWaitFactor = 4;
+constexpr int maxWaitFactor = 4;
 // The queue must cover half a run at least, or slots stand empty while the daemons further up learn that there is room.
-constexpr int shortestQueueDivisor = 2;
-constexpr std::chrono::milliseconds shortestRetryAfter{200};
+constexpr int minDrainTargetDivisor = 2;
+constexpr std::chrono::milliseconds minRetryAfter{200};
 constexpr std::chrono::milliseconds retryAfterBelowLevel{1000};
 
 [[nodiscard]] static double millisecondsOf(const Duration duration)
@@ -40,16 +40,16 @@
 GateRelease AdaptiveGate::offer(const Ticket &ticket, const SteadyTime now)
 {
     GateRelease release;
-    if (std::optional<GateRefusal> refusal = refusalOfHopeless(ticket, now)) {
+    if (std::optional<GateRefusal> refusal = refusalIfUnmeetable(ticket, now)) {
         release.refused.push_back(std::move(*refusal));
         return release;
     }
     const Duration expected = m_estimator.expected(ticket.kind, ticket.cost);
     m_level.noteArrival(ticket, expected, now);
-    m_waiting.push({.ticket = ticket, .expected = expected});
+    m_queue.push({.ticket = ticket, .expected = expected});
     startWaiting(now, release);
     shedExcess(&ticket, now, release);
-    moveLevel(now);
+    updateLevel(now);
     return release;
 }
 
@@ -59,27 +59,27 @@
     const auto found = m_running.find(execution);
     if (found != m_running.end()) {
         const bool wasSaturated = static_cast<int>(m_running.size()) >= m_limit.value();
-        noteEnd(found->second, observation, wasSaturated, now);
+        noteRunEnd(found->second, observation, wasSaturated, now);
         m_running.erase(found);
     }
     startWaiting(now, release);
-    moveLevel(now);
+    updateLevel(now);
     return release;
 }
 
 bool AdaptiveGate::withdraw(const ExecutionId execution)
 {
-    return m_waiting.remove(execution);
+    return m_queue.remove(execution);
 }
 
 GateRelease AdaptiveGate::tick(const SteadyTime now)
 {
     GateRelease release;
-    dropHopeless(now, release);
+    refuseUnmeetable(now, release);
     startWaiting(now, release);
     shedExcess(nullptr, now, release);
     shedOverdue(now, release);
-    moveLevel(now);
+    updateLevel(now);
     return release;
 }
 
@@ -98,22 +98,22 @@
     LoadReport report;
     report.inFlight = static_cast<int>(m_running.size());
     report.limit = m_limit.value();
-    report.queued = static_cast<int>(m_waiting.size());
+    report.queued = static_cast<int>(m_queue.size());
     report.level = m_level.level();
-    report.queueDelay = now - m_waiting.oldestArrival(now);
+    report.queueDelay = now - m_queue.oldestArrival(now);
     return report;
 }
 
 std::vector<account::Figure> AdaptiveGate::levelFigures(const SteadyTime now) const
 {
     return {{.name = "queueDrainMs", .value = internal::millisecondsOf(drainTime())},
-            {.name = "aimedDrainMs", .value = internal::millisecondsOf(aimedDrainTime())},
+            {.name = "aimedDrainMs", .value = internal::millisecondsOf(targetDrainTime())},
             {.name = "meanHeldMs", .value = internal::millisecondsOf(m_meanHeld)},
             {.name = "admittedDemand", .value = m_level.admittedDemand(now)},
             {.name = "shed", .value = m_level.shedRate(now)}};
 }
 
-std::optional<GateRefusal> AdaptiveGate::refusalOfHopeless(const Ticket &ticket, const SteadyTime now) const
+std::optional<GateRefusal> AdaptiveGate::refusalIfUnmeetable(const Ticket &ticket, const SteadyTime now) const
 {
     const Duration remaining = ticket.deadline - now;
     const Duration shortest = m_estimator.shortest(ticket.kind, now);
@@ -131,10 +131,10 @@
     };
 }
 
-void AdaptiveGate::dropHopeless(const SteadyTime now, GateRelease &release)
+void AdaptiveGate::refuseUnmeetable(const SteadyTime now, GateRelease &release)
 {
-    static_cast<void>(m_waiting.removeIf([this, now, &release](const Waiting &waiting) {
-        std::optional<GateRefusal> refusal = refusalOfHopeless(waiting.ticket, now);
+    static_cast<void>(m_queue.removeIf([this, now, &release](const QueuedRequest &waiting) {
+        std::optional<GateRefusal> refusal = refusalIfUnmeetable(waiting.ticket, now);
         if (!refusal.has_value()) {
             return false;
         }
@@ -145,13 +145,13 @@
 
 void AdaptiveGate::startWaiting(const SteadyTime now, GateRelease &release)
 {
-    while (!m_waiting.empty() && static_cast<int>(m_running.size()) < m_limit.value()) {
+    while (!m_queue.empty() && static_cast<int>(m_running.size()) < m_limit.value()) {
         // Under pressure the oldest are the likeliest to be given up by their callers before they end. Where inner calls are
         // kept, the oldest has the most to lose.
-        const bool isUnderPressure = !m_rules.keepsInnerCalls && drainTime() > aimedDrainTime();
-        const Waiting next = m_waiting.popBest(isUnderPressure);
+        const bool isUnderPressure = !m_rules.keepsInnerCalls && drainTime() > targetDrainTime();
+        const QueuedRequest next = m_queue.popMostValuable(isUnderPressure);
         const Ticket &ticket = next.ticket;
-        if (std::optional<GateRefusal> refusal = refusalOfHopeless(ticket, now)) {
+        if (std::optional<GateRefusal> refusal = refusalIfUnmeetable(ticket, now)) {
             release.refused.push_back(std::move(*refusal));
             continue;
         }
@@ -162,34 +162,34 @@
 
 void AdaptiveGate::shedExcess(const Ticket *const arrived, const SteadyTime now, GateRelease &release)
 {
-    while (const Waiting *const next = nextToShed()) {
-        const Waiting shed = *next;
-        m_waiting.remove(shed.ticket.execution);
+    while (const QueuedRequest *const next = nextToShed()) {
+        const QueuedRequest shed = *next;
+        m_queue.remove(shed.ticket.execution);
         const bool hasJustArrived = arrived != nullptr && shed.ticket.execution == arrived->execution;
         m_level.noteShed(shed.ticket, shed.expected, now);
         release.refused.push_back(refusalOf(shed, hasJustArrived, now));
     }
 }
 
-const Waiting *AdaptiveGate::nextToShed() const
+const QueuedRequest *AdaptiveGate::nextToShed() const
 {
-    if (m_waiting.size() <= 1) {
+    if (m_queue.size() <= 1) {
         return nullptr;
     }
     if (!m_rules.keepsInnerCalls) {
-        const Waiting &worst = m_waiting.worst();
-        return drainTime() > longestDrainTime(worst.ticket) ? &worst : nullptr;
+        const QueuedRequest &leastValuable = m_queue.leastValuable();
+        return drainTime() > maxDrainTime(leastValuable.ticket) ? &leastValuable : nullptr;
     }
     // What waits behind a root does not keep it waiting.
-    const Waiting *const root = m_waiting.worstRoot();
-    const bool isTooLong = root != nullptr && m_waiting.workUpTo(root->ticket) / std::max(1, m_limit.value()) > longestDrainTime(root->ticket);
+    const QueuedRequest *const root = m_queue.leastValuableRoot();
+    const bool isTooLong = root != nullptr && m_queue.workUpTo(root->ticket) / std::max(1, m_limit.value()) > maxDrainTime(root->ticket);
     return isTooLong ? root : nullptr;
 }
 
 void AdaptiveGate::shedOverdue(const SteadyTime now, GateRelease &release)
 {
-    const SteadyTime latest = now - internal::longestWaitFactor * aimedDrainTime();
-    for (const Waiting &overdue : m_waiting.removeIf([this, latest](const Waiting &waiting) {
+    const SteadyTime latest = now - internal::maxWaitFactor * targetDrainTime();
+    for (const QueuedRequest &overdue : m_queue.removeIf([this, latest](const QueuedRequest &waiting) {
              return waiting.ticket.arrived < latest && !(m_rules.keepsInnerCalls && waiting.ticket.isInner);
          })) {
         m_level.noteShed(overdue.ticket, overdue.expected, now);
@@ -197,7 +197,7 @@
     }
 }
 
-GateRefusal AdaptiveGate::refusalOf(const Waiting &waiting, const bool hasJustArrived, const SteadyTime now) const
+GateRefusal AdaptiveGate::refusalOf(const QueuedRequest &waiting, const bool hasJustArrived, const SteadyTime now) const
 {
     const Ticket &ticket = waiting.ticket;
     return {
@@ -207,9 +207,9 @@
         .figures = {{.name = "priority", .value = static_cast<double>(ticket.rankClass.priority)},
                     {.name = "densityClass", .value = static_cast<double>(ticket.rankClass.density)},
                     {.name = "waitedMs", .value = internal::millisecondsOf(now - ticket.arrived)},
-                    {.name = "queued", .value = static_cast<double>(m_waiting.size() + 1)},
+                    {.name = "queued", .value = static_cast<double>(m_queue.size() + 1)},
                     {.name = "queueDrainMs", .value = internal::millisecondsOf(drainTime())},
-                    {.name = "queueDrainLimitMs", .value = internal::millisecondsOf(longestDrainTime(ticket))},
+                    {.name = "queueDrainLimitMs", .value = internal::millisecondsOf(maxDrainTime(ticket))},
                     {.name = "running", .value = static_cast<double>(m_running.size())},
                     {.name = "limit", .value = static_cast<double>(m_limit.value())}},
         .retryAfter = retryAfter(ticket),
@@ -220,31 +220,31 @@
 {
     const auto drain = std::chrono::duration_cast<std::chrono::milliseconds>(drainTime());
     const bool isBelow = !admits(m_level.level(), ticket.rankClass, ticket.root);
-    return std::max(isBelow ? internal::retryAfterBelowLevel : internal::shortestRetryAfter, drain);
+    return std::max(isBelow ? internal::retryAfterBelowLevel : internal::minRetryAfter, drain);
 }
 
 Duration AdaptiveGate::drainTime() const
 {
-    return m_waiting.work() / std::max(1, m_limit.value());
+    return m_queue.work() / std::max(1, m_limit.value());
 }
 
-Duration AdaptiveGate::aimedDrainTime() const
+Duration AdaptiveGate::targetDrainTime() const
 {
-    return std::max<Duration>({m_queueTarget, m_meanHeld / internal::shortestQueueDivisor, m_rules.shortestQueue});
+    return std::max<Duration>({m_queueTarget, m_meanHeld / internal::minDrainTargetDivisor, m_rules.minDrainTarget});
 }
 
-Duration AdaptiveGate::longestDrainTime(const Ticket &ticket) const
+Duration AdaptiveGate::maxDrainTime(const Ticket &ticket) const
 {
-    return aimedDrainTime() * (ticket.isInner ? internal::innerQueueFactor : internal::rootQueueFactor);
+    return targetDrainTime() * (ticket.isInner ? internal::innerQueueFactor : internal::rootQueueFactor);
 }
 
-void AdaptiveGate::noteEnd(const Running &running, const Observation &observation, const bool wasSaturated, const SteadyTime now)
+void AdaptiveGate::noteRunEnd(const Running &running, const Observation &observation, const bool wasSaturated, const SteadyTime now)
 {
     m_meanHeld += (observation.latency - m_meanHeld) / internal::samplesInMeanHeld;
     if (observation.outcome == RunOutcome::succeeded) {
-        m_estimator.noteEnded(running.kind, observation.latency, now);
+        m_estimator.noteCompleted(running.kind, observation.latency, now);
     } else if (observation.outcome == RunOutcome::abandoned) {
-        m_estimator.noteCutShort(running.kind, observation.latency, now);
+        m_estimator.noteAbandoned(running.kind, observation.latency, now);
     }
     m_limit.note(
         {
@@ -256,9 +256,9 @@
         now);
 }
 
-void AdaptiveGate::moveLevel(const SteadyTime now)
+void AdaptiveGate::updateLevel(const SteadyTime now)
 {
-    m_level.update({.line = m_waiting, .target = aimedDrainTime(), .limit = m_limit.value()}, now);
+    m_level.update({.queue = m_queue, .target = targetDrainTime(), .limit = m_limit.value()}, now);
 }
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/admission/adaptive_gate.hpp
+++ b/src/egretlatch/admission/adaptive_gate.hpp
@@ -3,12 +3,12 @@
 
 #include <map>
 
+#include <egretlatch/admission/admission_queue.hpp>
 #include <egretlatch/admission/concurrency_limit.hpp>
 #include <egretlatch/admission/gate.hpp>
 #include <egretlatch/admission/gate_rules.hpp>
 #include <egretlatch/admission/level_control.hpp>
 #include <egretlatch/admission/run_estimator.hpp>
-#include <egretlatch/admission/waiting_line.hpp>
 
 namespace egretlatch::admission
 {
@@ -44,19 +44,19 @@
         Duration cost{};
     };
 
-    [[nodiscard]] std::optional<GateRefusal> refusalOfHopeless(const Ticket &ticket, SteadyTime now) const;
-    void dropHopeless(SteadyTime now, GateRelease &release);
+    [[nodiscard]] std::optional<GateRefusal> refusalIfUnmeetable(const Ticket &ticket, SteadyTime now) const;
+    void refuseUnmeetable(SteadyTime now, GateRelease &release);
     void startWaiting(SteadyTime now, GateRelease &release);
     void shedExcess(const Ticket *arrived, SteadyTime now, GateRelease &release);
     void shedOverdue(SteadyTime now, GateRelease &release);
-    [[nodiscard]] GateRefusal refusalOf(const Waiting &waiting, bool hasJustArrived, SteadyTime now) const;
+    [[nodiscard]] GateRefusal refusalOf(const QueuedRequest &waiting, bool hasJustArrived, SteadyTime now) const;
     [[nodiscard]] std::chrono::milliseconds retryAfter(const Ticket &ticket) const;
     [[nodiscard]] Duration drainTime() const;
-    [[nodiscard]] Duration aimedDrainTime() const;
-    [[nodiscard]] const Waiting *nextToShed() const;
-    [[nodiscard]] Duration longestDrainTime(const Ticket &ticket) const;
-    void noteEnd(const Running &running, const Observation &observation, bool wasSaturated, SteadyTime now);
-    void moveLevel(SteadyTime now);
+    [[nodiscard]] Duration targetDrainTime() const;
+    [[nodiscard]] const QueuedRequest *nextToShed() const;
+    [[nodiscard]] Duration maxDrainTime(const Ticket &ticket) const;
+    void noteRunEnd(const Running &running, const Observation &observation, bool wasSaturated, SteadyTime now);
+    void updateLevel(SteadyTime now);
 
     GateRules m_rules;
     Duration m_queueTarget{std::chrono::milliseconds{20}};
@@ -64,7 +64,7 @@
     ConcurrencyLimit m_limit;
     LevelControl m_level;
     RunEstimator m_estimator;
-    WaitingLine m_waiting;
+    AdmissionQueue m_queue;
     std::map<ExecutionId, Running> m_running;
 };
 
--- a/src/egretlatch/admission/waiting_line.cpp
+++ b/src/egretlatch/admission/admission_queue.cpp
@@ -1,11 +1,11 @@
-#include <egretlatch/admission/waiting_line.hpp>
+#include <egretlatch/admission/admission_queue.hpp>
 
 #include <bit>
 
 namespace egretlatch::admission
 {
 
-WaitingLine::Group WaitingLine::groupOf(const Ticket &ticket)
+AdmissionQueue::Group AdmissionQueue::groupOf(const Ticket &ticket)
 {
     if (!ticket.isInner) {
         return {.rankClass = ticket.rankClass, .invested = 0};
@@ -15,28 +15,28 @@
     return {.rankClass = ticket.rankClass, .invested = 1 + static_cast<int>(std::bit_width(static_cast<std::uint64_t>(std::max<std::int64_t>(invested, 0))))};
 }
 
-void WaitingLine::push(Waiting waiting)
+void AdmissionQueue::push(QueuedRequest waiting)
 {
     const Group group = groupOf(waiting.ticket);
     const ExecutionId execution = waiting.ticket.execution;
     m_work += waiting.expected;
     Queue &queue = m_groups[group];
     queue.push_back(std::move(waiting));
-    m_places.emplace(execution, Place{.group = group, .position = std::prev(queue.end())});
+    m_locations.emplace(execution, Location{.group = group, .position = std::prev(queue.end())});
 }
 
-Waiting WaitingLine::popBest(const bool newestFirst)
+QueuedRequest AdmissionQueue::popMostValuable(const bool isNewestFirst)
 {
     const auto group = m_groups.begin();
-    return take(group, newestFirst ? std::prev(group->second.end()) : group->second.begin());
+    return take(group, isNewestFirst ? std::prev(group->second.end()) : group->second.begin());
 }
 
-const Waiting &WaitingLine::worst() const
+const QueuedRequest &AdmissionQueue::leastValuable() const
 {
     return m_groups.rbegin()->second.front();
 }
 
-const Waiting *WaitingLine::worstRoot() const
+const QueuedRequest *AdmissionQueue::leastValuableRoot() const
 {
     for (auto group = m_groups.rbegin(); group != m_groups.rend(); ++group) {
         if (group->first.invested == 0) {
@@ -46,12 +46,12 @@
     return nullptr;
 }
 
-Duration WaitingLine::workUpTo(const Ticket &ticket) const
+Duration AdmissionQueue::workUpTo(const Ticket &ticket) const
 {
     const auto last = m_groups.find(groupOf(ticket));
     Duration work{};
     for (auto group = m_groups.begin(); group != m_groups.end(); ++group) {
-        for (const Waiting &waiting : group->second) {
+        for (const QueuedRequest &waiting : group->second) {
             work += waiting.expected;
         }
         if (group == last) {
@@ -61,32 +61,32 @@
     return work;
 }
 
-bool WaitingLine::remove(const ExecutionId execution)
+bool AdmissionQueue::remove(const ExecutionId execution)
 {
-    const auto found = m_places.find(execution);
-    if (found == m_places.end()) {
+    const auto found = m_locations.find(execution);
+    if (found == m_locations.end()) {
         return false;
     }
-    const Place place = found->second;
-    static_cast<void>(take(m_groups.find(place.group), place.position));
+    const Location location = found->second;
+    static_cast<void>(take(m_groups.find(location.group), location.position));
     return true;
 }
 
-Duration WaitingLine::workAbove(const RankClass &rankClass) const
+Duration AdmissionQueue::workAbove(const RankClass &rankClass) const
 {
     Duration work{};
     for (const auto &[group, queue] : m_groups) {
         if (group.rankClass <= rankClass) {
             break;
         }
-        for (const Waiting &waiting : queue) {
+        for (const QueuedRequest &waiting : queue) {
             work += waiting.expected;
         }
     }
     return work;
 }
 
-SteadyTime WaitingLine::oldestArrival(const SteadyTime now) const
+SteadyTime AdmissionQueue::oldestArrival(const SteadyTime now) const
 {
     SteadyTime oldest = now;
     for (const auto &[group, queue] : m_groups) {
@@ -95,15 +95,15 @@
     return oldest;
 }
 
-Waiting WaitingLine::take(const Groups::iterator group, const Queue::iterator position)
+QueuedRequest AdmissionQueue::take(const Groups::iterator group, const Queue::iterator position)
 {
-    Waiting taken = std::move(*position);
+    QueuedRequest taken = std::move(*position);
     group->second.erase(position);
     if (group->second.empty()) {
         m_groups.erase(group);
     }
     m_work -= taken.expected;
-    m_places.erase(taken.ticket.execution);
+    m_locations.erase(taken.ticket.execution);
     return taken;
 }
 
--- a/src/egretlatch/admission/waiting_line.hpp
+++ b/src/egretlatch/admission/admission_queue.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_ADMISSION_WAITING_LINE_HPP
-#define EGRETLATCH_ADMISSION_WAITING_LINE_HPP
+#ifndef EGRETLATCH_ADMISSION_ADMISSION_QUEUE_HPP
+#define EGRETLATCH_ADMISSION_ADMISSION_QUEUE_HPP
 
 #include <compare>
 #include <cstddef>
@@ -13,7 +13,7 @@
 {
 
 /*! @brief A request that waits for a slot. */
-struct Waiting
+struct QueuedRequest
 {
     Ticket ticket;
     /*! @brief Time that its run is expected to hold a slot. */
@@ -26,33 +26,33 @@
  * The order is: class of the root, then work invested, so that an inner call goes before a new root of its class, then
  * time of arrival.
  */
-class WaitingLine
+class AdmissionQueue
 {
 public:
     /**
      * @brief Adds a request.
      * @param waiting The request.
      */
-    void push(Waiting waiting);
+    void push(QueuedRequest waiting);
 
     /**
      * @brief Takes the most valuable request.
      * @param newestFirst Whether the newest of the equals goes first.
      * @return The request; the line must not be empty.
      */
-    [[nodiscard]] Waiting popBest(bool newestFirst);
+    [[nodiscard]] QueuedRequest popMostValuable(bool isNewestFirst);
 
     /**
      * @brief Gives the least valuable request, the oldest of the equals.
      * @return The request; the line must not be empty.
      */
-    [[nodiscard]] const Waiting &worst() const;
+    [[nodiscard]] const QueuedRequest &leastValuable() const;
 
     /**
      * @brief Gives the least valuable request that no other service's run makes, the oldest of the equals.
      * @return The request, or null if all are inner calls.
      */
-    [[nodiscard]] const Waiting *worstRoot() const;
+    [[nodiscard]] const QueuedRequest *leastValuableRoot() const;
 
     /**
      * @brief Gives the slot time that is expected to go by before a request's group has been served.
@@ -73,17 +73,17 @@
      * @param rule Called with each request; true takes it out.
      * @return The requests taken out, the most valuable first.
      */
-    template<typename Rule>
-    [[nodiscard]] std::vector<Waiting> removeIf(Rule rule);
+    template<typename Predicate>
+    [[nodiscard]] std::vector<QueuedRequest> removeIf(Predicate predicate);
 
     [[nodiscard]] bool empty() const noexcept
     {
-        return m_places.empty();
+        return m_locations.empty();
     }
 
     [[nodiscard]] std::size_t size() const noexcept
     {
-        return m_places.size();
+        return m_locations.size();
     }
 
     /**
@@ -118,34 +118,34 @@
         friend auto operator<=>(const Group &, const Group &) = default;
     };
 
-    using Queue = std::list<Waiting>;
+    using Queue = std::list<QueuedRequest>;
     using Groups = std::map<Group, Queue, std::greater<>>;
 
-    struct Place
+    struct Location
     {
         Group group;
         Queue::iterator position;
     };
 
     [[nodiscard]] static Group groupOf(const Ticket &ticket);
-    [[nodiscard]] Waiting take(Groups::iterator group, Queue::iterator position);
+    [[nodiscard]] QueuedRequest take(Groups::iterator group, Queue::iterator position);
 
     Groups m_groups;
-    std::map<ExecutionId, Place> m_places;
+    std::map<ExecutionId, Location> m_locations;
     Duration m_work{};
 };
 
-template<typename Rule>
-std::vector<Waiting> WaitingLine::removeIf(Rule rule)
+template<typename Predicate>
+std::vector<QueuedRequest> AdmissionQueue::removeIf(Predicate predicate)
 {
-    std::vector<Waiting> removed;
+    std::vector<QueuedRequest> removed;
     for (auto group = m_groups.begin(); group != m_groups.end();) {
         const auto nextGroup = std::next(group);
         Queue &queue = group->second;
         for (auto position = queue.begin(); position != queue.end();) {
             const auto nextPosition = std::next(position);
             const bool isLast = queue.size() == 1;
-            if (rule(*position)) {
+            if (predicate(*position)) {
                 removed.push_back(take(group, position));
                 if (isLast) {
                     break;
--- a/src/egretlatch/admission/chain_costs.cpp
+++ b/src/egretlatch/admission/chain_costs.cpp
@@ -8,20 +8,20 @@
 void ChainCosts::setManifest(const manifest::Manifest &manifest)
 {
     m_chains.clear();
-    m_below.clear();
+    m_downstream.clear();
     for (const manifest::ServiceSpec &service : manifest.services()) {
         for (const manifest::KindSpec &kind : service.kinds) {
-            std::set<KindName> open;
-            for (const auto &[stop, held] : chainOf(manifest, {service.name, kind.name}, open).stops) {
-                if (stop != service.name) {
-                    m_below[service.name].insert(stop);
+            std::set<KindName> onPath;
+            for (const auto &[reached, held] : chainOf(manifest, {service.name, kind.name}, onPath).slotTimes) {
+                if (reached != service.name) {
+                    m_downstream[service.name].insert(reached);
                 }
             }
         }
     }
 }
 
-const ChainCosts::Chain &ChainCosts::chainOf(const manifest::Manifest &manifest, const KindName &name, std::set<KindName> &open)
+const ChainCosts::Chain &ChainCosts::chainOf(const manifest::Manifest &manifest, const KindName &name, std::set<KindName> &onPath)
 {
     static const Chain nothing;
     const auto known = m_chains.find(name);
@@ -30,20 +30,20 @@
     }
     const manifest::KindSpec *const kind = manifest.findKind(name.first, name.second);
     // A cycle is only warned of at submission; here it must not recur for ever, so its last call counts nothing.
-    if (kind == nullptr || !open.insert(name).second) {
+    if (kind == nullptr || !onPath.insert(name).second) {
         return nothing;
     }
     Chain chain;
     chain.held = kind->cost;
     for (const manifest::InnerCall &call : kind->calls) {
-        const Chain &callee = chainOf(manifest, {call.service, call.kind}, open);
+        const Chain &callee = chainOf(manifest, {call.service, call.kind}, onPath);
         chain.held += call.count * callee.held;
-        for (const auto &[service, held] : callee.stops) {
-            chain.stops[service] = std::max(chain.stops[service], held);
+        for (const auto &[service, held] : callee.slotTimes) {
+            chain.slotTimes[service] = std::max(chain.slotTimes[service], held);
         }
     }
-    chain.stops[name.first] = std::max(chain.stops[name.first], chain.held);
-    open.erase(name);
+    chain.slotTimes[name.first] = std::max(chain.slotTimes[name.first], chain.held);
+    onPath.erase(name);
     return m_chains.insert_or_assign(name, std::move(chain)).first->second;
 }
 
@@ -53,18 +53,18 @@
     return found == m_chains.end() ? Duration{} : found->second.held;
 }
 
-const ChainStops &ChainCosts::stops(const std::string &service, const std::string &kind) const
+const SlotTimeByService &ChainCosts::slotTimes(const std::string &service, const std::string &kind) const
 {
-    static const ChainStops none;
+    static const SlotTimeByService none;
     const auto found = m_chains.find({service, kind});
-    return found == m_chains.end() ? none : found->second.stops;
+    return found == m_chains.end() ? none : found->second.slotTimes;
 }
 
-const std::set<std::string> &ChainCosts::servicesBelow(const std::string &service) const
+const std::set<std::string> &ChainCosts::downstreamServices(const std::string &service) const
 {
     static const std::set<std::string> none;
-    const auto found = m_below.find(service);
-    return found == m_below.end() ? none : found->second;
+    const auto found = m_downstream.find(service);
+    return found == m_downstream.end() ? none : found->second;
 }
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/admission/concurrency_limit.cpp
+++ b/src/egretlatch/admission/concurrency_limit.cpp
@@ -8,20 +8,20 @@
 namespace internal
 {
 
-constexpr std::chrono::milliseconds shortestWindow{100};
+constexpr std::chrono::milliseconds minWindow{100};
 constexpr std::chrono::milliseconds backOffInterval{100};
-constexpr int fewestRuns = 8;
+constexpr int minRuns = 8;
 constexpr int runsPerSlot = 2;
 constexpr double saturatedShare = 0.8;
 // Own latency beyond this multiple of the usual one starts a trial of a lower limit.
-constexpr double suspectSlowness = 1.5;
-constexpr double usualSlownessDrift = 1.001;
+constexpr double trialSlowness = 1.5;
+constexpr double baselineSlownessDrift = 1.001;
 // A trial is kept if the server gets this share of the earlier work done.
 constexpr double keptThroughput = 0.95;
 constexpr double backOffFactor = 0.7;
 constexpr int stepDivisor = 8;
 constexpr int windowsAfterFailure = 8;
-constexpr int mostDoublings = 4;
+constexpr int maxDoublings = 4;
 
 } // namespace internal
 
@@ -48,7 +48,7 @@
         if (m_areSlotsTrusted) {
             return;
         }
-        ++m_window.troubles;
+        ++m_window.rejections;
         backOff(now);
         return;
     case RunOutcome::failed:
@@ -67,7 +67,7 @@
     m_window.saturatedRuns += sample.isSaturated ? 1 : 0;
     const double cost = std::chrono::duration<double>(std::max(sample.cost, Duration{std::chrono::milliseconds{1}})).count();
     m_window.slownessSum += std::chrono::duration<double>(sample.ownLatency).count() / cost;
-    if (now - m_window.begin >= internal::shortestWindow && m_window.runs >= std::max(internal::fewestRuns, internal::runsPerSlot * m_limit)) {
+    if (now - m_window.begin >= internal::minWindow && m_window.runs >= std::max(internal::minRuns, internal::runsPerSlot * m_limit)) {
         closeWindow(now);
     }
 }
@@ -92,15 +92,15 @@
     const double throughput = m_limit / slowness;
     const bool isSaturated = window.saturatedRuns >= internal::saturatedShare * window.runs;
     if (m_isTrial) {
-        judgeTrial(throughput);
+        evaluateTrial(throughput);
         return;
     }
-    m_usualSlowness = m_usualSlowness == 0.0 ? slowness : std::min(slowness, m_usualSlowness * internal::usualSlownessDrift);
-    if (window.troubles > 0) {
+    m_baselineSlowness = m_baselineSlowness == 0.0 ? slowness : std::min(slowness, m_baselineSlowness * internal::baselineSlownessDrift);
+    if (window.rejections > 0) {
         return;
     }
-    const bool isSuspect = isSaturated && slowness > internal::suspectSlowness * m_usualSlowness;
-    if (!isSuspect) {
+    const bool isSlow = isSaturated && slowness > internal::trialSlowness * m_baselineSlowness;
+    if (!isSlow) {
         grow();
     } else if (m_windowsToWait > 0) {
         --m_windowsToWait;
@@ -118,7 +118,7 @@
     m_limit = std::max(1, m_limit - std::max(1, m_limit / internal::stepDivisor));
 }
 
-void ConcurrencyLimit::judgeTrial(const double throughput)
+void ConcurrencyLimit::evaluateTrial(const double throughput)
 {
     m_isTrial = false;
     if (throughput >= internal::keptThroughput * m_throughputBeforeTrial) {
@@ -126,7 +126,7 @@
         return;
     }
     m_limit = m_limitBeforeTrial;
-    m_windowsToWait = internal::windowsAfterFailure << std::min(m_failedTrials, internal::mostDoublings);
+    m_windowsToWait = internal::windowsAfterFailure << std::min(m_failedTrials, internal::maxDoublings);
     ++m_failedTrials;
 }
 
--- a/src/egretlatch/admission/concurrency_limit.hpp
+++ b/src/egretlatch/admission/concurrency_limit.hpp
@@ -65,14 +65,14 @@
         SteadyTime begin;
         int runs{};
         int saturatedRuns{};
-        int troubles{};
+        int rejections{};
         /*! @brief Sum of own latency over declared cost. */
         double slownessSum{};
     };
 
     void backOff(SteadyTime now);
     void closeWindow(SteadyTime now);
-    void judgeTrial(double throughput);
+    void evaluateTrial(double throughput);
     void beginTrial(double throughput);
     void grow();
 
@@ -80,7 +80,7 @@
     int m_slots{};
     int m_limit{};
     Window m_window;
-    double m_usualSlowness{};
+    double m_baselineSlowness{};
     bool m_isTrial{};
     int m_limitBeforeTrial{};
     double m_throughputBeforeTrial{};
--- a/src/egretlatch/admission/crash_suspects.cpp
+++ b/src/egretlatch/admission/crash_suspects.cpp
@@ -15,9 +15,9 @@
 // The bound of the users' rules: a request may reach servers until it has crashed the third.
 constexpr int crashesToQuarantine = 3;
 // At 30 requests lost with a crash this holds those of 136 crashes.
-constexpr std::size_t mostSuspects = 4096;
+constexpr std::size_t maxSuspects = 4096;
 // Of a rumour's 512 bytes.
-constexpr std::size_t mostInMessage = 64;
+constexpr std::size_t maxPerMessage = 64;
 
 } // namespace internal
 
@@ -29,12 +29,12 @@
 
 void CrashSuspects::noteCrash(const std::string &crash, const std::vector<RequestFingerprint> &running, const SteadyTime now)
 {
-    forgetOld(now);
+    eraseExpired(now);
     for (const RequestFingerprint request : running) {
-        if (m_goodElsewhere.contains(request)) {
+        if (m_remoteSuccesses.contains(request)) {
             continue;
         }
-        if (m_suspects.size() >= internal::mostSuspects && !m_suspects.contains(request)) {
+        if (m_suspects.size() >= internal::maxSuspects && !m_suspects.contains(request)) {
             return;
         }
         Suspect &suspect = m_suspects[request];
@@ -43,24 +43,24 @@
     }
 }
 
-bool CrashSuspects::noteGood(const RequestFingerprint request)
+bool CrashSuspects::noteSuccess(const RequestFingerprint request)
 {
     return m_suspects.erase(request) > 0;
 }
 
-void CrashSuspects::noteGoodElsewhere(const RequestFingerprint request, const SteadyTime now)
+void CrashSuspects::noteRemoteSuccess(const RequestFingerprint request, const SteadyTime now)
 {
-    static_cast<void>(noteGood(request));
-    forgetOld(now);
-    if (m_goodElsewhere.size() < internal::mostSuspects) {
-        m_goodElsewhere.insert_or_assign(request, now);
+    static_cast<void>(noteSuccess(request));
+    eraseExpired(now);
+    if (m_remoteSuccesses.size() < internal::maxSuspects) {
+        m_remoteSuccesses.insert_or_assign(request, now);
     }
 }
 
 int CrashSuspects::crashes(const RequestFingerprint request, const SteadyTime now) const
 {
     const auto found = m_suspects.find(request);
-    const bool isOld = found != m_suspects.end() && now - found->second.last >= crashLife;
+    const bool isOld = found != m_suspects.end() && now - found->second.last >= crashLifetime;
     return found == m_suspects.end() || isOld ? 0 : static_cast<int>(found->second.crashes.size());
 }
 
@@ -69,19 +69,19 @@
     return crashes(request, now) >= internal::crashesToQuarantine;
 }
 
-void CrashSuspects::forgetOld(const SteadyTime now)
+void CrashSuspects::eraseExpired(const SteadyTime now)
 {
     std::erase_if(m_suspects, [now](const auto &item) {
-        return now - item.second.last >= crashLife;
+        return now - item.second.last >= crashLifetime;
     });
-    std::erase_if(m_goodElsewhere, [now](const auto &item) {
-        return now - item.second >= goodLife;
+    std::erase_if(m_remoteSuccesses, [now](const auto &item) {
+        return now - item.second >= successLifetime;
     });
 }
 
 std::string toBytes(const std::vector<RequestFingerprint> &requests)
 {
-    const std::size_t count = std::min(requests.size(), internal::mostInMessage);
+    const std::size_t count = std::min(requests.size(), internal::maxPerMessage);
     std::string bytes(count * sizeof(RequestFingerprint), '\0');
     if (count > 0) {
         std::memcpy(bytes.data(), requests.data(), bytes.size());
--- a/src/egretlatch/admission/learned_chains.cpp
+++ b/src/egretlatch/admission/learned_chains.cpp
@@ -12,98 +12,98 @@
 constexpr int samplesInMean = 20;
 // Servers of one service differ in speed, and each tells of its own. Without a mean, a kind's cost, and with it its place in
 // the order, would change with each server that answers last.
-constexpr int tellingsInMean = 32;
+constexpr int reportsInMean = 32;
 // Calls for each run below which a call counts as none, so that what is no longer made is forgotten.
-constexpr double fewestCalls = 0.02;
+constexpr double minCallsPerRun = 0.02;
 
 } // namespace internal
 
 void LearnedChains::noteRun(const KindName &kind, const std::map<KindName, int> &calls, const Duration held)
 {
-    const bool isFirst = !m_seen.contains(kind);
-    Seen &seen = m_seen[kind];
+    const bool isFirst = !m_local.contains(kind);
+    LocalKind &local = m_local[kind];
     if (isFirst) {
-        seen.held = held;
+        local.held = held;
         for (const auto &[callee, count] : calls) {
-            seen.calls[callee] = count;
+            local.calls[callee] = count;
         }
         return;
     }
-    seen.held += (held - seen.held) / internal::samplesInMean;
+    local.held += (held - local.held) / internal::samplesInMean;
     for (const auto &[callee, count] : calls) {
-        seen.calls.try_emplace(callee, 0.0);
+        local.calls.try_emplace(callee, 0.0);
     }
-    for (auto &[callee, mean] : seen.calls) {
+    for (auto &[callee, mean] : local.calls) {
         const auto made = calls.find(callee);
         const double count = made == calls.end() ? 0.0 : made->second;
         mean += (count - mean) / internal::samplesInMean;
     }
-    std::erase_if(seen.calls, [](const auto &entry) {
-        return entry.second < internal::fewestCalls;
+    std::erase_if(local.calls, [](const auto &entry) {
+        return entry.second < internal::minCallsPerRun;
     });
 }
 
-void LearnedChains::noteChain(const KindName &kind, const ChainStops &stops)
+void LearnedChains::noteChain(const KindName &kind, const SlotTimeByService &slotTimes)
 {
-    if (stops.empty()) {
+    if (slotTimes.empty()) {
         return;
     }
-    Told &told = m_told[kind];
-    told.tellings = std::min(told.tellings + 1, internal::tellingsInMean);
-    for (const auto &[service, held] : stops) {
-        Duration &known = told.stops[service];
+    RemoteKind &remote = m_remote[kind];
+    remote.reports = std::min(remote.reports + 1, internal::reportsInMean);
+    for (const auto &[service, held] : slotTimes) {
+        Duration &known = remote.slotTimes[service];
         // Nothing is told of a call whose own chain is not known yet.
         if (known == Duration{}) {
             known = held;
         } else if (held != Duration{}) {
-            known += (held - known) / told.tellings;
+            known += (held - known) / remote.reports;
         }
     }
-    std::erase_if(told.stops, [&stops](const auto &stop) {
-        return !stops.contains(stop.first);
+    std::erase_if(remote.slotTimes, [&slotTimes](const auto &reached) {
+        return !slotTimes.contains(reached.first);
     });
 }
 
-ChainStops LearnedChains::chain(const KindName &kind) const
+SlotTimeByService LearnedChains::chain(const KindName &kind) const
 {
-    const auto seen = m_seen.find(kind);
-    if (seen != m_seen.end()) {
-        return chainOfSeen(kind, seen->second);
+    const auto local = m_local.find(kind);
+    if (local != m_local.end()) {
+        return chainOfLocal(kind, local->second);
     }
-    const auto told = m_told.find(kind);
-    return told == m_told.end() ? ChainStops{} : told->second.stops;
+    const auto remote = m_remote.find(kind);
+    return remote == m_remote.end() ? SlotTimeByService{} : remote->second.slotTimes;
 }
 
-ChainStops LearnedChains::chainOfSeen(const KindName &kind, const Seen &seen) const
+SlotTimeByService LearnedChains::chainOfLocal(const KindName &kind, const LocalKind &local) const
 {
-    ChainStops stops;
-    stops[kind.first] = seen.held;
-    for (const auto &[callee, count] : seen.calls) {
-        const auto told = m_told.find(callee);
-        if (told == m_told.end()) {
-            stops.try_emplace(callee.first, Duration{});
+    SlotTimeByService slotTimes;
+    slotTimes[kind.first] = local.held;
+    for (const auto &[callee, count] : local.calls) {
+        const auto remote = m_remote.find(callee);
+        if (remote == m_remote.end()) {
+            slotTimes.try_emplace(callee.first, Duration{});
             continue;
         }
-        for (const auto &[service, held] : told->second.stops) {
-            stops[service] += std::chrono::duration_cast<Duration>(held * count);
+        for (const auto &[service, held] : remote->second.slotTimes) {
+            slotTimes[service] += std::chrono::duration_cast<Duration>(held * count);
         }
     }
-    return stops;
+    return slotTimes;
 }
 
-std::set<std::string> LearnedChains::servicesBelow(const std::string &service) const
+std::set<std::string> LearnedChains::downstreamServices(const std::string &service) const
 {
-    std::set<std::string> below;
-    for (const auto &[kind, seen] : m_seen) {
+    std::set<std::string> downstream;
+    for (const auto &[kind, local] : m_local) {
         if (kind.first != service) {
             continue;
         }
-        for (const auto &[stop, held] : chainOfSeen(kind, seen)) {
-            below.insert(stop);
+        for (const auto &[reached, held] : chainOfLocal(kind, local)) {
+            downstream.insert(reached);
         }
     }
-    below.erase(service);
-    return below;
+    downstream.erase(service);
+    return downstream;
 }
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/admission/learned_chains.hpp
+++ b/src/egretlatch/admission/learned_chains.hpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <string>
 
-#include <egretlatch/admission/chain_stops.hpp>
+#include <egretlatch/admission/slot_time_by_service.hpp>
 
 namespace egretlatch::admission
 {
@@ -32,42 +32,42 @@
      * @param kind The kind.
      * @param stops Its whole chain; an empty one says nothing.
      */
-    void noteChain(const KindName &kind, const ChainStops &stops);
+    void noteChain(const KindName &kind, const SlotTimeByService &slotTimes);
 
     /**
      * @brief Gives the chain of a kind.
      * @param kind The kind.
      * @return What is known; empty for a kind of which nothing is.
      */
-    [[nodiscard]] ChainStops chain(const KindName &kind) const;
+    [[nodiscard]] SlotTimeByService chain(const KindName &kind) const;
 
     /**
      * @brief Gives the services that any kind of a service reaches, its own left out.
      * @param service Name of the service.
      * @return Names of the services.
      */
-    [[nodiscard]] std::set<std::string> servicesBelow(const std::string &service) const;
+    [[nodiscard]] std::set<std::string> downstreamServices(const std::string &service) const;
 
 private:
-    struct Seen
+    struct LocalKind
     {
         Duration held{};
         /*! @brief Calls for each run, on average. */
         std::map<KindName, double> calls;
     };
 
-    struct Told
+    struct RemoteKind
     {
-        ChainStops stops;
-        int tellings{};
+        SlotTimeByService slotTimes;
+        int reports{};
     };
 
-    [[nodiscard]] ChainStops chainOfSeen(const KindName &kind, const Seen &seen) const;
+    [[nodiscard]] SlotTimeByService chainOfLocal(const KindName &kind, const LocalKind &local) const;
 
     /*! @brief Kinds that ran here. */
-    std::map<KindName, Seen> m_seen;
+    std::map<KindName, LocalKind> m_local;
     /*! @brief Kinds that ran elsewhere. */
-    std::map<KindName, Told> m_told;
+    std::map<KindName, RemoteKind> m_remote;
 };
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/admission/level_control.cpp
+++ b/src/egretlatch/admission/level_control.cpp
@@ -10,24 +10,24 @@
 {
 
 // A class that is shed whole sends nothing; forgotten early, it would be opened in one go with all that lie below it.
-constexpr std::chrono::seconds demandMemory{60};
-constexpr int samplesInUnderWay = 20;
+constexpr std::chrono::seconds demandRetention{60};
+constexpr int samplesInTimeToGate = 20;
 // The admitted share of a class grows by this part of itself, then by more with each step that finds room.
-constexpr double firstOpening = 0.05;
-constexpr double openingGrowth = 3.0;
-constexpr double widestOpening = 1e6;
+constexpr double initialGrowth = 0.05;
+constexpr double growthFactor = 3.0;
+constexpr double maxGrowth = 1e6;
 // Share that a class is opened by at first.
-constexpr double smallestShare = 0.005;
-constexpr double headroom = 0.5;
+constexpr double minShare = 0.005;
+constexpr double maxDrainRatioToLower = 0.5;
 // Part of the room that one step may open, where the demand of the class is known.
-constexpr double usedRoom = 0.7;
+constexpr double usedHeadroomShare = 0.7;
 // Share of the capacity.
-constexpr double negligibleShed = 0.005;
+constexpr double negligibleShedShare = 0.005;
 // Demand above this share of the capacity is cut at once while the queue is too long.
-constexpr double fullUse = 1.0;
+constexpr double fullUtilization = 1.0;
 // Additional cut for each multiple of the target that the queue stands at, so that the queue itself goes away.
-constexpr double cutForQueue = 0.15;
-constexpr double widestCutForQueue = 0.3;
+constexpr double cutPerDrainRatio = 0.15;
+constexpr double maxCutForQueue = 0.3;
 
 [[nodiscard]] static double secondsOf(const Duration duration)
 {
@@ -38,7 +38,7 @@
 
 void LevelControl::noteArrival(const Ticket &ticket, const Duration slotTime, const SteadyTime now)
 {
-    m_underWay += (ticket.invested - m_underWay) / internal::samplesInUnderWay;
+    m_meanTimeToGate += (ticket.invested - m_meanTimeToGate) / internal::samplesInTimeToGate;
     const bool isAdmitted = admits(m_level, ticket.rankClass, ticket.root);
     Demand &demand = m_demand[ticket.rankClass];
     demand.lastArrival = now;
@@ -89,54 +89,54 @@
 
 Duration LevelControl::stepInterval() const
 {
-    return std::clamp<Duration>(m_underWay + m_underWay / 2, m_times.shortestStep, m_times.longestStep);
+    return std::clamp<Duration>(m_meanTimeToGate + m_meanTimeToGate / 2, m_times.minStepInterval, m_times.maxStepInterval);
 }
 
-void LevelControl::update(const Pressure &pressure, const SteadyTime now)
+void LevelControl::update(const QueueState &state, const SteadyTime now)
 {
-    if (now - m_lastStep < m_times.shortestStep) {
+    if (now - m_lastStep < m_times.minStepInterval) {
         return;
     }
     m_lastStep = now;
-    forgetIdle(now);
+    eraseIdle(now);
     for (auto &[rankClass, demand] : m_demand) {
         decay(demand, now);
     }
-    const double queue = pressure.of(pressure.line.work());
+    const double drainRatio = state.drainRatioOf(state.queue.work());
     decay(m_shed, now);
-    if (queue > 1.0 || m_shed.rate > internal::negligibleShed * pressure.limit) {
-        const double cut = std::clamp(internal::cutForQueue * (queue - 1.0), 0.0, internal::widestCutForQueue);
-        const double excess = std::max(admittedDemand(now) - pressure.limit * (internal::fullUse - cut), m_shed.rate);
+    if (drainRatio > 1.0 || m_shed.rate > internal::negligibleShedShare * state.limit) {
+        const double cut = std::clamp(internal::cutPerDrainRatio * (drainRatio - 1.0), 0.0, internal::maxCutForQueue);
+        const double excess = std::max(admittedDemand(now) - state.limit * (internal::fullUtilization - cut), m_shed.rate);
         m_shed.rate = 0.0;
         if (excess > 0.0) {
-            raise(excess, pressure, now);
+            raise(excess, state, now);
         }
-        m_openStep = internal::firstOpening;
-        m_lastOpening = now;
+        m_growth = internal::initialGrowth;
+        m_lastLowered = now;
         return;
     }
-    if (queue >= internal::headroom) {
-        m_lastOpening = now;
+    if (drainRatio >= internal::maxDrainRatioToLower) {
+        m_lastLowered = now;
         return;
     }
-    if (m_level > Level{} && now - m_lastOpening >= stepInterval()) {
-        lower(1.0 + std::min(m_openStep, roomInClass(pressure, now)));
-        m_openStep = std::min(m_openStep * internal::openingGrowth, internal::widestOpening);
-        m_lastOpening = now;
+    if (m_level > Level{} && now - m_lastLowered >= stepInterval()) {
+        lower(1.0 + std::min(m_growth, headroomInClass(state, now)));
+        m_growth = std::min(m_growth * internal::growthFactor, internal::maxGrowth);
+        m_lastLowered = now;
     }
 }
 
-double LevelControl::roomInClass(const Pressure &pressure, const SteadyTime now)
+double LevelControl::headroomInClass(const QueueState &state, const SteadyTime now)
 {
     const auto found = m_demand.find(m_level.rankClass());
-    const double room = pressure.limit - admittedDemand(now);
-    if (found == m_demand.end() || found->second.rate < internal::negligibleShed * pressure.limit) {
-        return internal::widestOpening;
+    const double room = state.limit - admittedDemand(now);
+    if (found == m_demand.end() || found->second.rate < internal::negligibleShedShare * state.limit) {
+        return internal::maxGrowth;
     }
-    return std::max(internal::firstOpening, internal::usedRoom * room / found->second.rate);
+    return std::max(internal::initialGrowth, internal::usedHeadroomShare * room / found->second.rate);
 }
 
-void LevelControl::raise(double excess, const Pressure &pressure, const SteadyTime now)
+void LevelControl::raise(double excess, const QueueState &state, const SteadyTime now)
 {
     for (auto &[rankClass, demand] : m_demand) {
         if (rankClass < m_level.rankClass() || demand.rate <= 0.0) {
@@ -150,7 +150,7 @@
         demand.updated = now;
         excess -= cut;
         // A class that itself hardly waits is not cut for a queue of lower ones: those give way to it in the queue.
-        if (excess <= 0.0 || pressure.of(pressure.line.workAbove(rankClass)) <= 1.0) {
+        if (excess <= 0.0 || state.drainRatioOf(state.queue.workAbove(rankClass)) <= 1.0) {
             return;
         }
     }
@@ -159,7 +159,7 @@
 void LevelControl::lower(double factor)
 {
     while (factor > 1.0) {
-        const double open = std::max(1.0 - m_level.fraction, internal::smallestShare);
+        const double open = std::max(1.0 - m_level.fraction, internal::minShare);
         if (open * factor < 1.0) {
             m_level.fraction = 1.0 - open * factor;
             return;
@@ -175,10 +175,10 @@
     }
 }
 
-void LevelControl::forgetIdle(const SteadyTime now)
+void LevelControl::eraseIdle(const SteadyTime now)
 {
     std::erase_if(m_demand, [now](const auto &entry) {
-        return now - entry.second.lastArrival > internal::demandMemory;
+        return now - entry.second.lastArrival > internal::demandRetention;
     });
 }
 
--- a/src/egretlatch/admission/level_control.hpp
+++ b/src/egretlatch/admission/level_control.hpp
@@ -4,18 +4,18 @@
 #include <algorithm>
 #include <map>
 
+#include <egretlatch/admission/admission_queue.hpp>
 #include <egretlatch/admission/level_times.hpp>
 #include <egretlatch/admission/rank.hpp>
-#include <egretlatch/admission/waiting_line.hpp>
 #include <egretlatch/core/clock.hpp>
 
 namespace egretlatch::admission
 {
 
 /*! @brief What a gate sees of its load at one moment. */
-struct Pressure
+struct QueueState
 {
-    const WaitingLine &line;
+    const AdmissionQueue &queue;
     /*! @brief Time in which the line should drain. */
     Duration target{};
     /*! @brief Requests run at a time. */
@@ -26,7 +26,7 @@
      * @param work Slot time.
      * @return 1 where it takes the time that is aimed at.
      */
-    [[nodiscard]] double of(const Duration work) const
+    [[nodiscard]] double drainRatioOf(const Duration work) const
     {
         return std::chrono::duration<double>(work) / std::chrono::duration<double>(target) / std::max(1, limit);
     }
@@ -75,7 +75,7 @@
      * @param pressure What the gate sees.
      * @param now Current time.
      */
-    void update(const Pressure &pressure, SteadyTime now);
+    void update(const QueueState &state, SteadyTime now);
 
     [[nodiscard]] const Level &level() const noexcept
     {
@@ -109,21 +109,21 @@
     void decay(Demand &demand, SteadyTime now) const;
     [[nodiscard]] double rateAt(const Demand &demand, SteadyTime now) const;
     [[nodiscard]] Duration stepInterval() const;
-    [[nodiscard]] double roomInClass(const Pressure &pressure, SteadyTime now);
-    void raise(double excess, const Pressure &pressure, SteadyTime now);
+    [[nodiscard]] double headroomInClass(const QueueState &state, SteadyTime now);
+    void raise(double excess, const QueueState &state, SteadyTime now);
     void lower(double factor);
-    void forgetIdle(SteadyTime now);
+    void eraseIdle(SteadyTime now);
 
     LevelTimes m_times;
     Level m_level;
     std::map<RankClass, Demand> m_demand;
     /*! @brief Slot seconds shed a second of inner calls that the present level admits. */
     Demand m_shed;
-    double m_openStep{};
+    double m_growth{};
     /*! @brief Time that requests have been under way from their entry to this gate, on average. */
-    Duration m_underWay{};
+    Duration m_meanTimeToGate{};
     SteadyTime m_lastStep;
-    SteadyTime m_lastOpening;
+    SteadyTime m_lastLowered;
 };
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/admission/level_notes.cpp
+++ b/src/egretlatch/admission/level_reports.cpp
@@ -1,4 +1,4 @@
-#include <egretlatch/admission/level_notes.hpp>
+#include <egretlatch/admission/level_reports.hpp>
 
 #include <algorithm>
 #include <vector>
@@ -9,39 +9,39 @@
 namespace internal
 {
 
-constexpr std::chrono::milliseconds longestAge{1000};
+constexpr std::chrono::milliseconds maxAge{1000};
 constexpr std::chrono::milliseconds freshAge{100};
 constexpr std::chrono::milliseconds comparableAge{100};
 constexpr std::chrono::milliseconds aggregateInterval{5};
 
 } // namespace internal
 
-void LevelNotes::note(const DaemonId &daemon, const NotedLevel &level)
+void LevelReports::note(const DaemonId &daemon, const ReportedLevel &level)
 {
-    m_notes[daemon] = level;
+    m_reports[daemon] = level;
 }
 
-NotedLevel LevelNotes::aggregate(const SteadyTime now)
+ReportedLevel LevelReports::aggregate(const SteadyTime now)
 {
     if (now - m_aggregatedAt < internal::aggregateInterval) {
         return m_aggregate;
     }
     m_aggregatedAt = now;
-    std::erase_if(m_notes, [now](const auto &entry) {
-        return now - entry.second.at >= internal::longestAge;
+    std::erase_if(m_reports, [now](const auto &entry) {
+        return now - entry.second.at >= internal::maxAge;
     });
     m_aggregate = {};
-    if (m_notes.empty()) {
+    if (m_reports.empty()) {
         return m_aggregate;
     }
-    for (const auto &[daemon, noted] : m_notes) {
-        m_aggregate.at = std::max(m_aggregate.at, noted.at);
+    for (const auto &[daemon, reported] : m_reports) {
+        m_aggregate.at = std::max(m_aggregate.at, reported.at);
     }
     std::vector<Level> levels;
-    for (const auto &[daemon, noted] : m_notes) {
+    for (const auto &[daemon, reported] : m_reports) {
         // A server that told nothing while its peers did says nothing of now.
-        if (m_aggregate.at - noted.at < internal::comparableAge) {
-            levels.push_back(noted.level);
+        if (m_aggregate.at - reported.at < internal::comparableAge) {
+            levels.push_back(reported.level);
         }
     }
     const auto median = levels.begin() + static_cast<std::ptrdiff_t>((levels.size() - 1) / 2);
@@ -52,13 +52,13 @@
     return m_aggregate;
 }
 
-double probeChance(const NotedLevel &noted, const SteadyTime now)
+double probeChance(const ReportedLevel &reported, const SteadyTime now)
 {
-    const Duration age = now - noted.at;
+    const Duration age = now - reported.at;
     if (age <= internal::freshAge) {
         return 0.0;
     }
-    const Duration span = internal::longestAge - internal::freshAge;
+    const Duration span = internal::maxAge - internal::freshAge;
     const double share = std::min(1.0, std::chrono::duration<double>(age - internal::freshAge) / std::chrono::duration<double>(span));
     return share * share;
 }
--- a/src/egretlatch/admission/pace_meter.cpp
+++ b/src/egretlatch/admission/pace_meter.cpp
@@ -11,14 +11,14 @@
 // Runs of one kind differ by half their time; the mean of so many is good to a tenth, and a server that turns slow is known
 // within a second at the rates of a full one.
 constexpr int runsInMean = 20;
-constexpr int fewestRuns = 4;
-constexpr std::chrono::seconds paceLife{5};
+constexpr int minRuns = 4;
+constexpr std::chrono::seconds paceLifetime{5};
 // Kinds come with configurations and go; so many are remembered.
-constexpr std::size_t mostKinds = 64;
+constexpr std::size_t maxKinds = 64;
 
 } // namespace internal
 
-void PaceMeter::noteEnded(const std::string &kind, const Duration own, const SteadyTime now)
+void PaceMeter::noteCompleted(const std::string &kind, const Duration own, const SteadyTime now)
 {
     Entry &entry = entryOf(kind);
     entry.runs = std::min(entry.runs + 1, internal::runsInMean);
@@ -37,17 +37,17 @@
 
 PaceMeter::Entry &PaceMeter::entryOf(const std::string &kind)
 {
-    if (m_entries.size() >= internal::mostKinds && !m_entries.contains(kind)) {
+    if (m_entries.size() >= internal::maxKinds && !m_entries.contains(kind)) {
         m_entries.clear();
     }
     return m_entries[kind];
 }
 
-void PaceMeter::noteCutShort(const std::string &kind, const Duration own, const SteadyTime now)
+void PaceMeter::noteAbandoned(const std::string &kind, const Duration own, const SteadyTime now)
 {
     const auto found = m_entries.find(kind);
     if (found != m_entries.end() && own > found->second.own) {
-        noteEnded(kind, own, now);
+        noteCompleted(kind, own, now);
     }
 }
 
@@ -64,7 +64,7 @@
 {
     std::vector<KindPace> paces;
     for (const auto &[kind, entry] : m_entries) {
-        if (isKnown(entry, now) && paces.size() < mostTold) {
+        if (isKnown(entry, now) && paces.size() < maxReportedPaces) {
             paces.push_back({.kind = kind, .own = entry.own, .failing = entry.failing});
         }
     }
@@ -78,7 +78,7 @@
 
 bool PaceMeter::isKnown(const Entry &entry, const SteadyTime now)
 {
-    return entry.runs >= internal::fewestRuns && now - entry.last < internal::paceLife;
+    return entry.runs >= internal::minRuns && now - entry.last < internal::paceLifetime;
 }
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/admission/priority_gate.cpp
+++ b/src/egretlatch/admission/priority_gate.cpp
@@ -31,7 +31,7 @@
         });
         if (withdrawn > 0) {
             m_queued -= withdrawn;
-            forgetIfEmpty(entry);
+            eraseIfEmpty(entry);
             return true;
         }
     }
@@ -47,7 +47,7 @@
 {
     m_waiting.begin()->second.pop_front();
     --m_queued;
-    forgetIfEmpty(m_waiting.begin());
+    eraseIfEmpty(m_waiting.begin());
 }
 
 std::size_t PriorityGate::queued() const
@@ -61,10 +61,10 @@
     release.refused.push_back(queueFull(lowest->second.back().execution));
     lowest->second.pop_back();
     --m_queued;
-    forgetIfEmpty(lowest);
+    eraseIfEmpty(lowest);
 }
 
-void PriorityGate::forgetIfEmpty(const Queues::iterator queue)
+void PriorityGate::eraseIfEmpty(const Queues::iterator queue)
 {
     if (queue->second.empty()) {
         m_waiting.erase(queue);
--- a/src/egretlatch/admission/priority_gate.hpp
+++ b/src/egretlatch/admission/priority_gate.hpp
@@ -32,7 +32,7 @@
     void dropNext() override;
     [[nodiscard]] std::size_t queued() const override;
     void refuseLowest(GateRelease &release);
-    void forgetIfEmpty(Queues::iterator queue);
+    void eraseIfEmpty(Queues::iterator queue);
 
     std::size_t m_queueCapacity;
     std::size_t m_queued{};
--- a/src/egretlatch/admission/rank.hpp
+++ b/src/egretlatch/admission/rank.hpp
@@ -85,7 +85,7 @@
  * @param root The root.
  * @return A number in [0, 1), the same on every daemon.
  */
-[[nodiscard]] inline double placeOf(const Uuid &root) noexcept
+[[nodiscard]] inline double hashFraction(const Uuid &root) noexcept
 {
     constexpr int unusedBits = 11;
     constexpr double scale = 1.0 / 9007199254740992.0;
@@ -104,7 +104,7 @@
     if (rankClass != level.rankClass()) {
         return rankClass > level.rankClass();
     }
-    return placeOf(root) >= level.fraction;
+    return hashFraction(root) >= level.fraction;
 }
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/admission/root_costs.cpp
+++ b/src/egretlatch/admission/root_costs.cpp
@@ -15,11 +15,11 @@
 
 } // namespace internal
 
-RootCosts::RootCosts(const ChainStops &chain)
+RootCosts::RootCosts(const SlotTimeByService &chain)
 {
-    m_stops.reserve(chain.size());
+    m_costs.reserve(chain.size());
     for (const auto &[service, held] : chain) {
-        m_stops.push_back({.service = internal::hashOf(service), .held = held});
+        m_costs.push_back({.service = internal::hashOf(service), .held = held});
     }
 }
 
@@ -27,9 +27,9 @@
 {
     std::optional<Duration> cost;
     const std::uint32_t hash = internal::hashOf(service);
-    for (const Stop &stop : m_stops) {
-        if (stop.service == hash && (!cost.has_value() || stop.held > *cost)) {
-            cost = stop.held;
+    for (const ServiceCost &entry : m_costs) {
+        if (entry.service == hash && (!cost.has_value() || entry.held > *cost)) {
+            cost = entry.held;
         }
     }
     return cost;
--- a/src/egretlatch/admission/run_estimator.cpp
+++ b/src/egretlatch/admission/run_estimator.cpp
@@ -11,10 +11,10 @@
 constexpr std::chrono::milliseconds estimateWindow{500};
 constexpr int samplesInMean = 10;
 // Ended runs from which the shortest of them is a bound for the next one.
-constexpr int runsToTrust = 5;
+constexpr int minRunsForBound = 5;
 // Part, in hundredths, of what fewer runs show that is taken for a bound.
-constexpr int firstTrust = 80;
-constexpr int hundredths = 100;
+constexpr int partialBoundPercent = 80;
+constexpr int wholePercent = 100;
 
 } // namespace internal
 
@@ -28,21 +28,21 @@
     return runs;
 }
 
-void RunEstimator::noteEnded(const std::string &kind, const Duration held, const SteadyTime now)
+void RunEstimator::noteCompleted(const std::string &kind, const Duration held, const SteadyTime now)
 {
     Runs &runs = runsOf(kind, now);
     runs.mean = runs.mean == Duration{} ? held : runs.mean + (held - runs.mean) / internal::samplesInMean;
-    runs.current.shortestEnded = std::min(runs.current.shortestEnded, held);
+    runs.current.shortestCompleted = std::min(runs.current.shortestCompleted, held);
     ++runs.current.ended;
 }
 
-void RunEstimator::noteCutShort(const std::string &kind, const Duration held, const SteadyTime now)
+void RunEstimator::noteAbandoned(const std::string &kind, const Duration held, const SteadyTime now)
 {
     Runs &runs = runsOf(kind, now);
     if (held > runs.mean) {
         runs.mean += (held - runs.mean) / internal::samplesInMean;
     }
-    runs.current.longestCutShort = std::max(runs.current.longestCutShort, held);
+    runs.current.longestAbandoned = std::max(runs.current.longestAbandoned, held);
 }
 
 Duration RunEstimator::expected(const std::string &kind, const Duration declared) const
@@ -57,22 +57,22 @@
     if (found == m_runs.end()) {
         return {};
     }
-    Duration shortestEnded = Duration::max();
-    Duration cutShort{};
+    Duration shortestCompleted = Duration::max();
+    Duration abandoned{};
     int ended = 0;
     for (const Window *const window : {&found->second.current, &found->second.previous}) {
         if (now - window->begin < 2 * internal::estimateWindow) {
-            shortestEnded = std::min(shortestEnded, window->shortestEnded);
-            cutShort = std::max(cutShort, window->longestCutShort);
+            shortestCompleted = std::min(shortestCompleted, window->shortestCompleted);
+            abandoned = std::max(abandoned, window->longestAbandoned);
             ended += window->ended;
         }
     }
-    if (ended >= internal::runsToTrust) {
-        return shortestEnded;
+    if (ended >= internal::minRunsForBound) {
+        return shortestCompleted;
     }
     // A few runs, or one that was cut short, say that this much was needed by them, not by every other; a rare kind whose
     // one long run was cut at its time would else be refused with all its time left.
-    return (ended > 0 ? shortestEnded : cutShort) * internal::firstTrust / internal::hundredths;
+    return (ended > 0 ? shortestCompleted : abandoned) * internal::partialBoundPercent / internal::wholePercent;
 }
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/admission/whole_chain_entry.cpp
+++ b/src/egretlatch/admission/whole_chain_entry.cpp
@@ -12,39 +12,39 @@
 
 // A class that is let in by shares has room for a caller that comes back while its answer is still worth all it can be.
 constexpr std::chrono::milliseconds retryAfterWithinClass{250};
-constexpr std::chrono::milliseconds retryAfterBelowClass{2000};
+constexpr std::chrono::milliseconds retryAfterOutsideClass{2000};
 constexpr std::chrono::milliseconds retryAfterSpread{500};
 
 /*! @brief A root that a service would refuse. */
-struct Obstacle
+struct RefusingService
 {
     const std::string &service;
     RankClass rankClass;
-    NotedLevel noted;
+    ReportedLevel reported;
 };
 
-[[nodiscard]] static std::chrono::milliseconds retryAfter(const Obstacle &obstacle, const Uuid &root)
+[[nodiscard]] static std::chrono::milliseconds retryAfter(const RefusingService &refusing, const Uuid &root)
 {
-    const bool isWithinClass = obstacle.rankClass == obstacle.noted.level.rankClass();
-    const std::chrono::milliseconds shortest = isWithinClass ? retryAfterWithinClass : retryAfterBelowClass;
+    const bool isWithinClass = refusing.rankClass == refusing.reported.level.rankClass();
+    const std::chrono::milliseconds shortest = isWithinClass ? retryAfterWithinClass : retryAfterOutsideClass;
     // Callers that were refused together must not come back together.
-    return shortest + std::chrono::duration_cast<std::chrono::milliseconds>(placeOf(root) * retryAfterSpread);
+    return shortest + std::chrono::duration_cast<std::chrono::milliseconds>(hashFraction(root) * retryAfterSpread);
 }
 
-[[nodiscard]] static EntryRefusal refusalOf(const Obstacle &obstacle, const Uuid &root, const SteadyTime now)
+[[nodiscard]] static EntryRefusal refusalOf(const RefusingService &refusing, const Uuid &root, const SteadyTime now)
 {
-    const Level &level = obstacle.noted.level;
+    const Level &level = refusing.reported.level;
     return {
         .reason = account::RefusalReason::overloadAtEntry,
-        .rule = fmt::format("{} down the chain refuses requests of this rank", obstacle.service),
-        .figures = {{.name = "priority", .value = static_cast<double>(obstacle.rankClass.priority)},
-                    {.name = "densityClass", .value = static_cast<double>(obstacle.rankClass.density)},
-                    {.name = "place", .value = placeOf(root)},
+        .rule = fmt::format("{} down the chain refuses requests of this rank", refusing.service),
+        .figures = {{.name = "priority", .value = static_cast<double>(refusing.rankClass.priority)},
+                    {.name = "densityClass", .value = static_cast<double>(refusing.rankClass.density)},
+                    {.name = "place", .value = hashFraction(root)},
                     {.name = "levelPriority", .value = static_cast<double>(level.priority)},
                     {.name = "levelDensityClass", .value = static_cast<double>(level.density)},
                     {.name = "levelFraction", .value = level.fraction},
-                    {.name = "levelAgeMs", .value = std::chrono::duration<double, std::milli>(now - obstacle.noted.at).count()}},
-        .retryAfter = retryAfter(obstacle, root),
+                    {.name = "levelAgeMs", .value = std::chrono::duration<double, std::milli>(now - refusing.reported.at).count()}},
+        .retryAfter = retryAfter(refusing, root),
     };
 }
 
@@ -84,43 +84,43 @@
     return m_costSource == CostSource::declared ? RootCosts{} : RootCosts{m_learned.chain({service, kind})};
 }
 
-void WholeChainEntry::noteLoad(const ServerNews &news, const SteadyTime now)
+void WholeChainEntry::noteLoad(const ServerLoadReport &report, const SteadyTime now)
 {
     // An attempt that never left, and a daemon without a backend server, tell of no limit and so of no load.
-    if (news.load.limit > 0) {
-        m_notes[news.service].own.note(news.daemon, {.level = news.load.level, .at = now});
+    if (report.load.limit > 0) {
+        m_levels[report.service].direct.note(report.daemon, {.level = report.load.level, .at = now});
     }
 }
 
-void WholeChainEntry::noteLevel(const ServiceNews &news)
+void WholeChainEntry::noteLevel(const ServiceLevelReport &report)
 {
     // News of one service come round by several ways, and by cycles of daemons that call one another come back to where
     // they were. Only what stood later than all that is known is taken, by the time at the service itself, so old news
     // are never made young again.
-    NotedLevel &known = m_notes[news.service].passedOn;
-    if (news.noted.at > known.at) {
-        known = news.noted;
+    ReportedLevel &known = m_levels[report.service].forwarded;
+    if (report.reported.at > known.at) {
+        known = report.reported;
     }
 }
 
-std::vector<ServiceNews> WholeChainEntry::levelsBelow(const std::string &service, const SteadyTime now)
+std::vector<ServiceLevelReport> WholeChainEntry::downstreamLevels(const std::string &service, const SteadyTime now)
 {
-    std::vector<ServiceNews> news;
-    std::set<std::string> services = m_learned.servicesBelow(service);
-    services.insert(m_costs.servicesBelow(service).begin(), m_costs.servicesBelow(service).end());
-    for (const std::string &below : services) {
-        const NotedLevel noted = levelOf(below, now);
-        if (noted.at != SteadyTime{}) {
-            news.push_back({.service = below, .noted = noted});
+    std::vector<ServiceLevelReport> reports;
+    std::set<std::string> services = m_learned.downstreamServices(service);
+    services.insert(m_costs.downstreamServices(service).begin(), m_costs.downstreamServices(service).end());
+    for (const std::string &downstream : services) {
+        const ReportedLevel reported = levelOf(downstream, now);
+        if (reported.at != SteadyTime{}) {
+            reports.push_back({.service = downstream, .reported = reported});
         }
     }
-    return news;
+    return reports;
 }
 
 std::optional<EntryRefusal> WholeChainEntry::check(const EntryRequest &request, const SteadyTime now)
 {
-    static const ChainStops none;
-    const ChainStops &declared = m_costSource == CostSource::declared ? m_costs.stops(request.service, request.kind) : none;
+    static const SlotTimeByService none;
+    const SlotTimeByService &declared = m_costSource == CostSource::declared ? m_costs.slotTimes(request.service, request.kind) : none;
     for (const auto &[service, held] : declared) {
         if (auto refusal = checkAt(service, held, request, now)) {
             return refusal;
@@ -139,11 +139,11 @@
 
 std::optional<EntryRefusal> WholeChainEntry::checkAt(const std::string &service, const Duration held, const EntryRequest &request, const SteadyTime now)
 {
-    const internal::Obstacle obstacle{.service = service, .rankClass = classOf(request.rank, held), .noted = levelOf(service, now)};
-    if (admits(obstacle.noted.level, obstacle.rankClass, request.root) || m_random.fraction() < probeChance(obstacle.noted, now)) {
+    const internal::RefusingService refusing{.service = service, .rankClass = classOf(request.rank, held), .reported = levelOf(service, now)};
+    if (admits(refusing.reported.level, refusing.rankClass, request.root) || m_random.fraction() < probeChance(refusing.reported, now)) {
         return std::nullopt;
     }
-    return internal::refusalOf(obstacle, request.root, now);
+    return internal::refusalOf(refusing, request.root, now);
 }
 
 void WholeChainEntry::noteRun(const RunCalls &run)
@@ -151,21 +151,21 @@
     m_learned.noteRun(run.kind, run.calls, run.held);
 }
 
-void WholeChainEntry::noteChain(const KindName &kind, const ChainStops &stops)
+void WholeChainEntry::noteChain(const KindName &kind, const SlotTimeByService &slotTimes)
 {
-    m_learned.noteChain(kind, stops);
+    m_learned.noteChain(kind, slotTimes);
 }
 
-ChainStops WholeChainEntry::learnedChain(const KindName &kind) const
+SlotTimeByService WholeChainEntry::learnedChain(const KindName &kind) const
 {
     return m_learned.chain(kind);
 }
 
-NotedLevel WholeChainEntry::levelOf(const std::string &service, const SteadyTime now)
+ReportedLevel WholeChainEntry::levelOf(const std::string &service, const SteadyTime now)
 {
-    Notes &notes = m_notes[service];
-    const NotedLevel own = notes.own.aggregate(now);
-    return own.at >= notes.passedOn.at ? own : notes.passedOn;
+    KnownLevels &known = m_levels[service];
+    const ReportedLevel direct = known.direct.aggregate(now);
+    return direct.at >= known.forwarded.at ? direct : known.forwarded;
 }
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/decision/crash_news.cpp
+++ b/src/egretlatch/decision/crash_news.cpp
@@ -23,7 +23,7 @@
                 .key = {.kind = membership::RumourKind::quarantine, .key = fmt::format("{}/{}/{:x}/{}", what, daemon.value, incarnation.value, number)},
                 .version = 1,
                 .payload = admission::toBytes(requests),
-                .remaining = admission::CrashSuspects::crashLife,
+                .remaining = admission::CrashSuspects::crashLifetime,
             }};
 }
 
@@ -48,7 +48,7 @@
         return;
     }
     for (const admission::RequestFingerprint request : requests) {
-        suspects.noteGoodElsewhere(request, now);
+        suspects.noteRemoteSuccess(request, now);
     }
 }
 
--- a/src/egretlatch/decision/serving_runs.cpp
+++ b/src/egretlatch/decision/serving_runs.cpp
@@ -125,7 +125,7 @@
         return;
     }
     const admission::RequestFingerprint request = fingerprint(attempt);
-    if (m_surroundings.suspects.noteGood(request)) {
+    if (m_surroundings.suspects.noteSuccess(request)) {
         m_crashNews.push_back(CrashNews::ranWell(m_surroundings.self, m_surroundings.incarnation, ++m_lastCrashNews, request));
     }
 }
--- a/test/egretlatch/decision/crash_news.cpp
+++ b/test/egretlatch/decision/crash_news.cpp
@@ -65,8 +65,8 @@
     admission::CrashSuspects suspects;
     CrashNews::ranWell({"a"}, {1}, 1, 7).apply(suspects, start);
     for (const std::uint64_t number : {1, 2, 3}) {
-        CrashNews::crashed({"b"}, {1}, number, {7}).apply(suspects, start + admission::CrashSuspects::goodLife);
+        CrashNews::crashed({"b"}, {1}, number, {7}).apply(suspects, start + admission::CrashSuspects::successLifetime);
     }
 
-    CHECK(suspects.isQuarantined(7, start + admission::CrashSuspects::goodLife));
+    CHECK(suspects.isQuarantined(7, start + admission::CrashSuspects::successLifetime));
 }
