--- a/src/egretlatch/admission/adaptive_gate.cpp
+++ b/src/egretlatch/admission/adaptive_gate.cpp
@@ -9,14 +9,14 @@
 {
 
 constexpr int samplesInMeanHeld = 20;
-// Multiples of the aimed drain time up to which the queue may grow. A root has cost nothing yet and is refused early; an
-// inner call carries what its root has cost so far.
+// Multiples of the target drain time up to which the queue may grow. A root has used no slot time yet and is refused early;
+// refusing an inner call wastes the slot time already spent on its root.
 constexpr int rootQueueFactor = 2;
 constexpr int innerQueueFactor = 8;
-// Multiples of the aimed drain time that a request may wait at most. An inner call that waits holds the slots of all runs
-// above it, which others could use.
+// Maximum wait of a request, in multiples of the target drain time. A waiting inner call holds the slots of all upstream
+// runs, which other requests could use.
 constexpr int maxWaitFactor = 4;
-// The queue must cover half a run at least, or slots stand empty while the daemons further up learn that there is room.
+// The queue must cover at least half a run; otherwise slots stay idle until upstream daemons learn that there is capacity.
 constexpr int minDrainTargetDivisor = 2;
 constexpr std::chrono::milliseconds minRetryAfter{200};
 constexpr std::chrono::milliseconds retryAfterBelowLevel{1000};
@@ -146,8 +146,8 @@
 void AdaptiveGate::startWaiting(const SteadyTime now, GateRelease &release)
 {
     while (!m_queue.empty() && static_cast<int>(m_running.size()) < m_limit.value()) {
-        // Under pressure the oldest are the likeliest to be given up by their callers before they end. Where inner calls are
-        // kept, the oldest has the most to lose.
+        // Under overload the oldest requests are the likeliest to be abandoned by their callers before they complete. Where
+        // inner calls are kept, the oldest request has the most invested slot time to lose.
         const bool isUnderPressure = !m_rules.keepsInnerCalls && drainTime() > targetDrainTime();
         const QueuedRequest next = m_queue.popMostValuable(isUnderPressure);
         const Ticket &ticket = next.ticket;
@@ -180,7 +180,7 @@
         const QueuedRequest &leastValuable = m_queue.leastValuable();
         return drainTime() > maxDrainTime(leastValuable.ticket) ? &leastValuable : nullptr;
     }
-    // What waits behind a root does not keep it waiting.
+    // Requests queued behind a root do not delay it, so only the work up to it counts.
     const QueuedRequest *const root = m_queue.leastValuableRoot();
     const bool isTooLong = root != nullptr && m_queue.workUpTo(root->ticket) / std::max(1, m_limit.value()) > maxDrainTime(root->ticket);
     return isTooLong ? root : nullptr;
--- a/src/egretlatch/admission/adaptive_gate.hpp
+++ b/src/egretlatch/admission/adaptive_gate.hpp
@@ -14,17 +14,18 @@
 {
 
 /**
- * @brief The gate of the whole design: a limit that adapts, a short queue in order of value, and a level for the entries.
+ * @brief Gate with an adaptive concurrency limit, a short queue ordered by value, and an admission level for entry daemons.
  *
- * A free slot is never kept from a request that waits: the level is for the daemons further up, which refuse by it what
- * would not get a slot here. What comes all the same is put in order and the least valuable is refused.
+ * A free slot is always given to a queued request, whatever the level: the level is meant for upstream daemons, which use
+ * it to refuse requests that would not get a slot here. Requests that arrive anyway are queued by value, and the least
+ * valuable are shed.
  */
 class AdaptiveGate final : public Gate
 {
 public:
     /**
-     * @brief Builds a gate without slots.
-     * @param rules What it may rely on, and whom it refuses.
+     * @brief Creates a gate without slots.
+     * @param rules Assumptions about the server, and rules for shedding.
      */
     explicit AdaptiveGate(const GateRules &rules = {});
 
--- a/src/egretlatch/admission/admission_queue.cpp
+++ b/src/egretlatch/admission/admission_queue.cpp
@@ -10,7 +10,7 @@
     if (!ticket.isInner) {
         return {.rankClass = ticket.rankClass, .invested = 0};
     }
-    // Doublings rather than milliseconds: within a doubling the order of arrival decides.
+    // Invested time is grouped by powers of two milliseconds; within a group the order of arrival decides.
     const auto invested = std::chrono::duration_cast<std::chrono::milliseconds>(ticket.invested).count();
     return {.rankClass = ticket.rankClass, .invested = 1 + static_cast<int>(std::bit_width(static_cast<std::uint64_t>(std::max<std::int64_t>(invested, 0))))};
 }
--- a/src/egretlatch/admission/admission_queue.hpp
+++ b/src/egretlatch/admission/admission_queue.hpp
@@ -12,19 +12,19 @@
 namespace egretlatch::admission
 {
 
-/*! @brief A request that waits for a slot. */
+/*! @brief Request that waits for a slot, with its expected run time. */
 struct QueuedRequest
 {
     Ticket ticket;
-    /*! @brief Time that its run is expected to hold a slot. */
+    /*! @brief Expected time that its run holds a slot. */
     Duration expected{};
 };
 
 /**
- * @brief The requests that wait for a slot, in order of their value.
+ * @brief Priority queue of the requests that wait for a slot.
  *
- * The order is: class of the root, then work invested, so that an inner call goes before a new root of its class, then
- * time of arrival.
+ * Ordered by the class of the root, then by invested slot time, so that an inner call precedes a new root of its class,
+ * then by time of arrival.
  */
 class AdmissionQueue
 {
@@ -36,42 +36,42 @@
     void push(QueuedRequest waiting);
 
     /**
-     * @brief Takes the most valuable request.
-     * @param newestFirst Whether the newest of the equals goes first.
-     * @return The request; the line must not be empty.
+     * @brief Removes and returns the most valuable request.
+     * @param isNewestFirst Selects the newest of equally valuable requests; false selects the oldest.
+     * @return The request; the queue must not be empty.
      */
     [[nodiscard]] QueuedRequest popMostValuable(bool isNewestFirst);
 
     /**
-     * @brief Gives the least valuable request, the oldest of the equals.
-     * @return The request; the line must not be empty.
+     * @brief Returns the least valuable request, the oldest among equals.
+     * @return The request; the queue must not be empty.
      */
     [[nodiscard]] const QueuedRequest &leastValuable() const;
 
     /**
-     * @brief Gives the least valuable request that no other service's run makes, the oldest of the equals.
+     * @brief Returns the least valuable root, that is a request that is not an inner call; the oldest among equals.
      * @return The request, or null if all are inner calls.
      */
     [[nodiscard]] const QueuedRequest *leastValuableRoot() const;
 
     /**
-     * @brief Gives the slot time that is expected to go by before a request's group has been served.
-     * @param ticket A request of the line.
+     * @brief Returns the slot time that is expected to be used until a request's group has been served.
+     * @param ticket A request in the queue.
      * @return The sum over its group and all more valuable ones.
      */
     [[nodiscard]] Duration workUpTo(const Ticket &ticket) const;
 
     /**
-     * @brief Takes a request out.
+     * @brief Removes a request.
      * @param execution The request.
-     * @return True if it was in the line.
+     * @return True if it was queued.
      */
     bool remove(ExecutionId execution);
 
     /**
-     * @brief Takes out every request that a rule picks.
-     * @param rule Called with each request; true takes it out.
-     * @return The requests taken out, the most valuable first.
+     * @brief Removes every request that satisfies a predicate.
+     * @param predicate Called with each request; true removes it.
+     * @return The removed requests, the most valuable first.
      */
     template<typename Predicate>
     [[nodiscard]] std::vector<QueuedRequest> removeIf(Predicate predicate);
@@ -87,7 +87,7 @@
     }
 
     /**
-     * @brief Gives the slot time that the line is expected to take.
+     * @brief Returns the slot time that the queued requests are expected to take.
      * @return The sum over all requests.
      */
     [[nodiscard]] Duration work() const noexcept
@@ -96,15 +96,15 @@
     }
 
     /**
-     * @brief Gives the slot time that the requests of higher classes are expected to take.
+     * @brief Returns the slot time that requests of higher classes are expected to take.
      * @param rankClass The class.
      * @return The sum over all requests above the class.
      */
     [[nodiscard]] Duration workAbove(const RankClass &rankClass) const;
 
     /**
-     * @brief Gives the time at which the request that waits longest came.
-     * @param now Returned for an empty line.
+     * @brief Returns the arrival time of the request that has waited longest.
+     * @param now Returned for an empty queue.
      * @return The time.
      */
     [[nodiscard]] SteadyTime oldestArrival(SteadyTime now) const;
--- a/src/egretlatch/admission/chain_costs.cpp
+++ b/src/egretlatch/admission/chain_costs.cpp
@@ -29,7 +29,7 @@
         return known->second;
     }
     const manifest::KindSpec *const kind = manifest.findKind(name.first, name.second);
-    // A cycle is only warned of at submission; here it must not recur for ever, so its last call counts nothing.
+    // Submission only warns about a call cycle, so recursion must end here: the call that closes the cycle counts as free.
     if (kind == nullptr || !onPath.insert(name).second) {
         return nothing;
     }
--- a/src/egretlatch/admission/chain_costs.hpp
+++ b/src/egretlatch/admission/chain_costs.hpp
@@ -12,21 +12,21 @@
 {
 
 /**
- * @brief What one request of each kind costs at the services down its chain, as declared.
+ * @brief Declared slot time that one request of each kind takes at the services of its call chain.
  *
- * A run holds its slot while its inner calls run, so the time that it holds has theirs in it.
+ * A run holds its slot while its inner calls run, so its slot time includes theirs.
  */
 class ChainCosts
 {
 public:
     /**
-     * @brief Works out the costs.
+     * @brief Computes the costs from a manifest.
      * @param manifest The manifest in force.
      */
     void setManifest(const manifest::Manifest &manifest);
 
     /**
-     * @brief Gives the time that a run holds a slot of its own service.
+     * @brief Returns the time that a run holds a slot of its own service.
      * @param service Service of the kind.
      * @param kind Name of the kind.
      * @return The time; zero for undeclared kinds.
@@ -34,15 +34,16 @@
     [[nodiscard]] Duration held(const std::string &service, const std::string &kind) const;
 
     /**
-     * @brief Gives the services that a request of a kind holds slots of, with the longest time that one call holds one.
+     * @brief Returns the services at which a request of a kind holds slots, with the longest time that one call holds a
+     * slot.
      * @param service Service of the kind.
      * @param kind Name of the kind.
-     * @return Its own service and those down its chain.
+     * @return Its own service and those downstream of it.
      */
     [[nodiscard]] const SlotTimeByService &slotTimes(const std::string &service, const std::string &kind) const;
 
     /**
-     * @brief Gives the services that any kind of a service reaches, its own left out.
+     * @brief Returns the services that any kind of a service calls, directly or indirectly, without the service itself.
      * @param service Name of the service.
      * @return Names of the services.
      */
--- a/src/egretlatch/admission/concurrency_limit.cpp
+++ b/src/egretlatch/admission/concurrency_limit.cpp
@@ -13,10 +13,10 @@
 constexpr int minRuns = 8;
 constexpr int runsPerSlot = 2;
 constexpr double saturatedShare = 0.8;
-// Own latency beyond this multiple of the usual one starts a trial of a lower limit.
+// Latency without inner calls beyond this multiple of the baseline starts a trial of a lower limit.
 constexpr double trialSlowness = 1.5;
 constexpr double baselineSlownessDrift = 1.001;
-// A trial is kept if the server gets this share of the earlier work done.
+// The lower limit is kept if throughput stays at or above this share of the earlier one.
 constexpr double keptThroughput = 0.95;
 constexpr double backOffFactor = 0.7;
 constexpr int stepDivisor = 8;
@@ -53,7 +53,7 @@
         return;
     case RunOutcome::failed:
     case RunOutcome::abandoned:
-        // A failure says nothing of the room that the server has, and the end of an abandoned run is its caller's.
+        // A failure says nothing about the server's capacity, and an abandoned run was ended by its caller or its deadline.
         return;
     case RunOutcome::succeeded:
         break;
@@ -88,7 +88,7 @@
     const Window window = m_window;
     m_window = {.begin = now};
     const double slowness = window.slownessSum / window.runs;
-    // By Little's law; counting ends in so short a window would be off by whole rounds of runs.
+    // By Little's law: counting completed runs in so short a window would be off by whole batches of runs.
     const double throughput = m_limit / slowness;
     const bool isSaturated = window.saturatedRuns >= internal::saturatedShare * window.runs;
     if (m_isTrial) {
--- a/src/egretlatch/admission/concurrency_limit.hpp
+++ b/src/egretlatch/admission/concurrency_limit.hpp
@@ -6,48 +6,49 @@
 namespace egretlatch::admission
 {
 
-/*! @brief A run that ended, as the limit looks at it. */
+/*! @brief Ended run, as a sample for the limit. */
 struct LimitSample
 {
     RunOutcome outcome{};
-    /*! @brief Time that the run itself took, without its inner calls. */
+    /*! @brief Time that the run took, without its inner calls. */
     Duration ownLatency{};
-    /*! @brief Time that its kind is declared to take. */
+    /*! @brief Declared run time of its kind. */
     Duration cost{};
-    /*! @brief Whether every slot was in use until it ended. */
+    /*! @brief True if every slot was in use until it ended. */
     bool isSaturated{};
 
     friend bool operator==(const LimitSample &, const LimitSample &) = default;
 };
 
 /**
- * @brief How many requests a backend server runs at a time.
+ * @brief Adaptive limit on the number of requests that a backend server runs at a time.
  *
- * A server may have less room than it announces: it queues inside, so latency grows with concurrency and throughput does
- * not. It may also just be slow, and then fewer runs at a time only lose throughput. The two look alike in latency alone.
- * So a lower limit is tried for one window and kept only if the server gets as much done with it.
+ * A server may have less capacity than it announces: it queues internally, so latency grows with concurrency while
+ * throughput does not. It may also just be slow, and then a lower limit only loses throughput. Latency alone does not tell
+ * the two cases apart, so a lower limit is tried for one window and kept only if throughput stays about the same.
  */
 class ConcurrencyLimit
 {
 public:
     /**
-     * @brief Takes the announced slots; the same number again changes nothing.
+     * @brief Sets the announced slots; setting the same number again has no effect.
      * @param slots Number of slots.
      */
     void setSlots(int slots);
 
     /**
-     * @brief Takes the end of a run.
+     * @brief Records the end of a run.
      * @param sample The run.
      * @param now Current time.
      */
     void note(const LimitSample &sample, SteadyTime now);
 
     /**
-     * @brief Says that the announced slots are what the server runs at a time, and that nobody else sends it requests.
+     * @brief Declares that the server can run as many requests as it announces slots, and that only this daemon sends it
+     * requests.
      *
-     * Never sent more than that, a server that rejects requests or loses connections does so for reasons of its own, and a
-     * lower limit would only leave its slots empty.
+     * Such a server never receives more requests than it has slots, so rejections and lost connections have other causes,
+     * and a lower limit would only leave its slots idle.
      */
     void trustSlots() noexcept
     {
@@ -84,7 +85,7 @@
     bool m_isTrial{};
     int m_limitBeforeTrial{};
     double m_throughputBeforeTrial{};
-    /*! @brief Runs of before the trial that have not ended. */
+    /*! @brief Unfinished runs that started before the trial. */
     int m_runsToSkip{};
     int m_windowsToWait{};
     int m_failedTrials{};
--- a/src/egretlatch/admission/cost_source.hpp
+++ b/src/egretlatch/admission/cost_source.hpp
@@ -4,11 +4,11 @@
 namespace egretlatch::admission
 {
 
-/*! @brief Where it is known from what a root costs at the services down its chain. */
+/*! @brief Source of the slot time that a root takes at the services of its call chain. */
 enum class CostSource {
-    /*! @brief The operators declare costs and calls. */
+    /*! @brief Declared costs and calls from the configuration. */
     declared,
-    /*! @brief Runs and their calls show it; configurations declare neither. */
+    /*! @brief Observed runs and their calls; the configuration declares neither costs nor calls. */
     observed,
 };
 
--- a/src/egretlatch/admission/crash_suspects.cpp
+++ b/src/egretlatch/admission/crash_suspects.cpp
@@ -12,11 +12,11 @@
 namespace internal
 {
 
-// The bound of the users' rules: a request may reach servers until it has crashed the third.
+// Required limit: a request may reach servers until it has crashed the third one.
 constexpr int crashesToQuarantine = 3;
-// At 30 requests lost with a crash this holds those of 136 crashes.
+// Holds the requests of 136 crashes, at 30 lost requests for each crash.
 constexpr std::size_t maxSuspects = 4096;
-// Of a rumour's 512 bytes.
+// 64 fingerprints of 8 bytes fill the 512 bytes of a rumour.
 constexpr std::size_t maxPerMessage = 64;
 
 } // namespace internal
@@ -92,7 +92,7 @@
 std::vector<RequestFingerprint> fingerprintsFrom(const std::string_view bytes)
 {
     std::vector<RequestFingerprint> requests(bytes.size() / sizeof(RequestFingerprint));
-    // Of nothing there may be no address to copy from.
+    // The data pointer of an empty view may be null, which memcpy() does not allow.
     if (!requests.empty()) {
         std::memcpy(requests.data(), bytes.data(), requests.size() * sizeof(RequestFingerprint));
     }
--- a/src/egretlatch/admission/crash_suspects.hpp
+++ b/src/egretlatch/admission/crash_suspects.hpp
@@ -13,67 +13,69 @@
 namespace egretlatch::admission
 {
 
-/*! @brief Names requests that are alike: the same method, path, body and calling service. */
+/*! @brief Hash that identifies equal requests: the same method, path, body and calling service. */
 using RequestFingerprint = std::uint64_t;
 
 /**
- * @brief Gives the fingerprint of a request.
+ * @brief Computes the fingerprint of a request.
  * @param method Its method.
  * @param path Its path with the query.
- * @param caller The service beside whose daemon it began.
+ * @param caller Service of the daemon at which it entered the system.
  * @param body Its body.
  * @return The fingerprint.
  */
 [[nodiscard]] RequestFingerprint fingerprintOf(std::string_view method, std::string_view path, std::string_view caller, std::string_view body);
 
 /**
- * @brief Finds requests that crash each backend server that runs them.
+ * @brief Detects requests that crash every backend server that runs them.
  *
- * Such a request comes again and takes one server after the other, with all that runs beside it. What ran at a server when it
- * crashed is suspect; what was there at three crashes is refused. A request that ran well is cleared, so what merely ran
- * beside the culprit goes on; to be refused it would have to run beside it three times without ending well anywhere.
+ * Such a request is resent and crashes one server after another, along with every other request that runs there. Requests
+ * that run at a server when it crashes become suspect; a request that was running at three crashes is refused. A request
+ * that succeeds is cleared, so a request that only ran at the same time as the culprit is normally not refused: that takes
+ * three crashes without a single success anywhere.
  */
 class CrashSuspects
 {
 public:
     /**
-     * @brief Takes a crash.
-     * @param crash Name of the crash; one that is known is not counted again.
-     * @param running What ran at the server.
+     * @brief Records a crash.
+     * @param crash Identifier of the crash; a known one is not counted again.
+     * @param running Requests that were running at the server.
      * @param now Current time.
      */
     void noteCrash(const std::string &crash, const std::vector<RequestFingerprint> &running, SteadyTime now);
 
     /**
-     * @brief Clears a request that ran well.
+     * @brief Clears a request that succeeded.
      * @param request The request.
-     * @return True if it was suspect, which others should then hear of.
+     * @return True if it was suspect; other daemons should then be notified.
      */
     bool noteSuccess(RequestFingerprint request);
 
     /**
-     * @brief Takes another daemon's word that a suspect request ran well.
+     * @brief Records another daemon's report that a suspect request succeeded.
      *
-     * It may come before the news of the crash that made the request suspect, so it also holds for crashes told of within
-     * `successLifetime`; a request that crashes each server that runs it is never told of so.
+     * The report may arrive before the report of the crash that made the request suspect, so it also applies to crashes
+     * reported within `successLifetime` after it. A request that crashes every server that runs it never gets such a
+     * report.
      * @param request The request.
      * @param now Current time.
      */
     void noteRemoteSuccess(RequestFingerprint request, SteadyTime now);
 
     /**
-     * @brief Counts the crashes that a request was there at.
+     * @brief Counts the recent crashes at which a request was running.
      * @param request The request.
      * @param now Current time.
-     * @return How many, of late.
+     * @return Number of crashes; zero once `crashLifetime` has passed since the last one.
      */
     [[nodiscard]] int crashes(RequestFingerprint request, SteadyTime now) const;
 
     /**
-     * @brief Says whether a request is refused.
+     * @brief Checks if a request is refused.
      * @param request The request.
      * @param now Current time.
-     * @return True from the third crash until long after the last one.
+     * @return True from the third crash until `crashLifetime` after the last one.
      */
     [[nodiscard]] bool isQuarantined(RequestFingerprint request, SteadyTime now) const;
 
@@ -82,9 +84,9 @@
         return m_suspects.empty();
     }
 
-    /*! @brief How long a crash counts; a request that is fixed runs again then. */
+    /*! @brief Time for which a crash counts; after it, a request whose cause has been fixed can run again. */
     static constexpr std::chrono::minutes crashLifetime{5};
-    /*! @brief How long the word of a good run holds for crashes told of after it. */
+    /*! @brief Time for which a reported success also clears the request of crashes that are reported after it. */
     static constexpr std::chrono::seconds successLifetime{10};
 
 private:
@@ -97,20 +99,20 @@
     void eraseExpired(SteadyTime now);
 
     std::map<RequestFingerprint, Suspect> m_suspects;
-    /*! @brief When other daemons told that a request ran well. */
+    /*! @brief Times at which other daemons reported a success of a request. */
     std::map<RequestFingerprint, SteadyTime> m_remoteSuccesses;
 };
 
 /**
- * @brief Writes fingerprints as bytes, for a message to other daemons.
- * @param requests The fingerprints; those beyond what a message holds are left out.
- * @return Eight bytes each.
+ * @brief Serializes fingerprints for a message to other daemons.
+ * @param requests The fingerprints; those that exceed the message's capacity are omitted.
+ * @return Eight bytes for each fingerprint.
  */
 [[nodiscard]] std::string toBytes(const std::vector<RequestFingerprint> &requests);
 
 /**
- * @brief Reads what toBytes() wrote.
- * @param bytes The bytes; a rest of fewer than eight is ignored.
+ * @brief Parses the output of toBytes().
+ * @param bytes The bytes; a remainder of fewer than eight is ignored.
  * @return The fingerprints.
  */
 [[nodiscard]] std::vector<RequestFingerprint> fingerprintsFrom(std::string_view bytes);
--- a/src/egretlatch/admission/entry_control.hpp
+++ b/src/egretlatch/admission/entry_control.hpp
@@ -20,7 +20,7 @@
 namespace egretlatch::admission
 {
 
-/*! @brief A root that asks to be let into the system. */
+/*! @brief Root that requests admission to the system. */
 struct EntryRequest
 {
     std::string service;
@@ -31,7 +31,7 @@
     friend bool operator==(const EntryRequest &, const EntryRequest &) = default;
 };
 
-/*! @brief Why a root is refused at the entry. */
+/*! @brief Refusal of a root at the entry, with its reason and figures. */
 struct EntryRefusal
 {
     account::RefusalReason reason{};
@@ -42,7 +42,7 @@
     friend bool operator==(const EntryRefusal &, const EntryRefusal &) = default;
 };
 
-/*! @brief What a serving daemon told of its own backend server. */
+/*! @brief Load that a serving daemon reported for its own backend server. */
 struct ServerLoadReport
 {
     std::string service;
@@ -52,7 +52,7 @@
     friend bool operator==(const ServerLoadReport &, const ServerLoadReport &) = default;
 };
 
-/*! @brief What is known of a service as a whole. */
+/*! @brief Aggregated level of a service, as reported by its daemons. */
 struct ServiceLevelReport
 {
     std::string service;
@@ -61,7 +61,7 @@
     friend bool operator==(const ServiceLevelReport &, const ServiceLevelReport &) = default;
 };
 
-/*! @brief A run that ended well, and the calls that it made. */
+/*! @brief Successful run and the inner calls that it made. */
 struct RunCalls
 {
     KindName kind;
@@ -72,20 +72,20 @@
     friend bool operator==(const RunCalls &, const RunCalls &) = default;
 };
 
-/*! @brief Refuses roots at the entry that a service down their chain would refuse anyway. */
+/*! @brief Interface for admission control at the entry: refuses roots that a downstream service would refuse anyway. */
 class EntryControl
 {
 public:
     virtual ~EntryControl() = default;
 
     /**
-     * @brief Takes a new configuration.
+     * @brief Applies a new configuration.
      * @param manifest The manifest in force.
      */
     virtual void setManifest(std::shared_ptr<const manifest::Manifest> manifest) = 0;
 
     /**
-     * @brief Gives the rank that roots of a kind have.
+     * @brief Returns the rank of the roots of a kind.
      * @param service Name of the service.
      * @param kind Name of the kind.
      * @return The rank, with nothing invested; the lowest for an undeclared kind.
@@ -93,18 +93,18 @@
     [[nodiscard]] virtual Rank rankOf(const std::string &service, const std::string &kind) const = 0;
 
     /**
-     * @brief Gives the class that a request has at one service.
+     * @brief Returns the class of a request at one service.
      * @param service Service that is called.
      * @param kind Kind that is called.
      * @param rank Rank of the root.
-     * @param costs What the root takes at each service, where that goes along with its calls.
+     * @param costs Slot time that the root takes at each service, if its calls carry it; empty otherwise.
      * @return The class.
      */
     [[nodiscard]] virtual RankClass classAt(const std::string &service, const std::string &kind, const Rank &rank, const RootCosts &costs) const = 0;
 
     /**
-     * @brief Gives what a root of a kind takes at each service, to go along with its calls.
-     * @return Empty where it is declared, or nothing is known.
+     * @brief Returns the slot time that a root of a kind takes at each service, to be sent with its calls.
+     * @return The costs; empty where they are declared, or nothing is known.
      */
     [[nodiscard]] virtual RootCosts costsOf(const std::string & /*service*/, const std::string & /*kind*/) const
     {
@@ -112,28 +112,28 @@
     }
 
     /**
-     * @brief Notes what a serving daemon told of its own server.
-     * @param news What it told.
+     * @brief Records the load that a serving daemon reported for its own server.
+     * @param report The report.
      * @param now Current time.
      */
     virtual void noteLoad(const ServerLoadReport &report, SteadyTime now) = 0;
 
     /**
-     * @brief Notes what a daemon passed on of a service further down.
-     * @param news What it told.
+     * @brief Records the level of a downstream service that another daemon forwarded.
+     * @param report The report.
      */
     virtual void noteLevel(const ServiceLevelReport &report) = 0;
 
     /**
-     * @brief Gives what is to be passed on of the services further down.
-     * @param service Service whose callers are told.
+     * @brief Returns the levels of downstream services, to be forwarded to callers.
+     * @param service Service whose callers receive them.
      * @param now Current time.
-     * @return What has been told lately.
+     * @return The recently reported levels.
      */
     [[nodiscard]] virtual std::vector<ServiceLevelReport> downstreamLevels(const std::string &service, SteadyTime now) = 0;
 
     /**
-     * @brief Notes a run that ended well at the backend server here, with the calls that it made.
+     * @brief Records a successful run at the local backend server, with the inner calls that it made.
      * @param run The run.
      */
     virtual void noteRun(const RunCalls & /*run*/)
@@ -141,17 +141,17 @@
     }
 
     /**
-     * @brief Notes what a serving daemon told of the chain of a kind that it serves.
+     * @brief Records the call chain that a serving daemon reported for a kind that it serves.
      * @param kind The kind.
-     * @param stops Its chain.
+     * @param slotTimes Slot times of its chain.
      */
-    virtual void noteChain(const KindName & /*kind*/, const SlotTimeByService & /*stops*/)
+    virtual void noteChain(const KindName & /*kind*/, const SlotTimeByService & /*slotTimes*/)
     {
     }
 
     /**
-     * @brief Gives the chain of a kind that is served here, for those who call it.
-     * @return Empty if nothing is known, or nobody asks.
+     * @brief Returns the learned call chain of a kind that is served here, to be sent to its callers.
+     * @return The chain; empty if nothing is known, or the implementation does not learn chains.
      */
     [[nodiscard]] virtual SlotTimeByService learnedChain(const KindName & /*kind*/) const
     {
@@ -159,10 +159,10 @@
     }
 
     /**
-     * @brief Decides about a root.
+     * @brief Decides if a root is admitted.
      * @param request The root.
      * @param now Current time.
-     * @return Nothing if it may go on, else why not.
+     * @return The refusal, or nothing if the root is admitted.
      */
     [[nodiscard]] virtual std::optional<EntryRefusal> check(const EntryRequest &request, SteadyTime now) = 0;
 };
--- a/src/egretlatch/admission/gate.hpp
+++ b/src/egretlatch/admission/gate.hpp
@@ -14,19 +14,19 @@
 namespace egretlatch::admission
 {
 
-/*! @brief A request that asks for a slot of the backend server. */
+/*! @brief Request for a slot of the backend server. */
 struct Ticket
 {
     ExecutionId execution;
     Uuid root;
     std::string kind;
-    /*! @brief Slot time that the kind is declared to take. */
+    /*! @brief Declared slot time of the kind. */
     Duration cost{};
     /*! @brief Class at this service. */
     RankClass rankClass;
-    /*! @brief Slot time that has been spent on the root so far. */
+    /*! @brief Slot time that the root has used so far. */
     Duration invested{};
-    /*! @brief Whether another service's run makes this call, rather than a caller. */
+    /*! @brief True if a run of another service makes this call; false for a root. */
     bool isInner{};
     SteadyTime arrived;
     SteadyTime deadline;
@@ -34,45 +34,45 @@
     friend bool operator==(const Ticket &, const Ticket &) = default;
 };
 
-/*! @brief How a run at the backend server ended, as the daemon saw it. */
+/*! @brief Outcome of a run at the backend server, as observed by the daemon. */
 enum class RunOutcome {
     succeeded,
-    /*! @brief The server answered with a server error, or refused. */
+    /*! @brief The server answered with a server error, or refused the request. */
     failed,
-    /*! @brief The server said that it did not start the request for lack of capacity. */
+    /*! @brief The server reported that it did not start the request for lack of capacity. */
     rejected,
-    /*! @brief The connection was lost, or could not be opened. */
+    /*! @brief The connection was lost or could not be opened. */
     lost,
-    /*! @brief The deadline passed or the caller went away while it ran. */
+    /*! @brief The deadline passed or the caller disconnected during the run. */
     abandoned,
 };
 
-/*! @brief What a finished run shows of the backend server. */
+/*! @brief Measurements of a finished run. */
 struct Observation
 {
     RunOutcome outcome{};
-    /*! @brief From dispatch to the end. */
+    /*! @brief Time from dispatch to the end. */
     Duration latency{};
-    /*! @brief Part of the latency in which the run waited for its own inner calls. */
+    /*! @brief Part of the latency that the run spent waiting for its own inner calls. */
     Duration waitedForInner{};
 
     friend bool operator==(const Observation &, const Observation &) = default;
 };
 
-/*! @brief A request that the gate gives up on, and why. */
+/*! @brief Request refused by the gate, with its reason and figures. */
 struct GateRefusal
 {
     ExecutionId execution;
     account::RefusalReason reason{};
     std::string rule;
     std::vector<account::Figure> figures;
-    /*! @brief When to come back; zero where that would not help. */
+    /*! @brief Delay before a retry; zero if a retry would not help. */
     std::chrono::milliseconds retryAfter{};
 
     friend bool operator==(const GateRefusal &, const GateRefusal &) = default;
 };
 
-/*! @brief What is to be done now: runs to start, in this order, and requests to refuse. */
+/*! @brief Actions for the daemon: runs to start, in this order, and requests to refuse. */
 struct GateRelease
 {
     std::vector<ExecutionId> started;
@@ -81,7 +81,7 @@
     friend bool operator==(const GateRelease &, const GateRelease &) = default;
 };
 
-/*! @brief Decides which requests a backend server runs, and when. */
+/*! @brief Interface for the decision which requests a backend server runs, and when. */
 class Gate
 {
 public:
@@ -91,54 +91,54 @@
      * @brief Offers a request.
      * @param ticket The request.
      * @param now Current time.
-     * @return What to do; a request that is in neither list waits inside the gate.
+     * @return The resulting actions; a request in neither list waits inside the gate.
      */
     [[nodiscard]] virtual GateRelease offer(const Ticket &ticket, SteadyTime now) = 0;
 
     /**
      * @brief Ends a run and frees its slot.
-     * @param execution A run that the gate has started.
-     * @param observation How it ended.
+     * @param execution Run that the gate has started.
+     * @param observation Measurements of the run.
      * @param now Current time.
-     * @return What to do with the requests that waited.
+     * @return The resulting actions for queued requests.
      */
     [[nodiscard]] virtual GateRelease finish(ExecutionId execution, const Observation &observation, SteadyTime now) = 0;
 
     /**
-     * @brief Takes back a request that waits.
+     * @brief Withdraws a queued request.
      * @param execution The request.
-     * @return True if it waited and will not be started any more.
+     * @return True if it was queued and will not be started.
      */
     [[nodiscard]] virtual bool withdraw(ExecutionId execution) = 0;
 
     /**
-     * @brief Lets time pass: drops what has expired, moves limits and levels.
+     * @brief Advances time: refuses expired requests, and updates limits and levels.
      * @param now Current time.
-     * @return What to do.
+     * @return The resulting actions.
      */
     [[nodiscard]] virtual GateRelease tick(SteadyTime now) = 0;
 
     /**
-     * @brief Says how many requests the backend server has announced to take at a time.
+     * @brief Sets the number of requests that the backend server announced to run at a time.
      * @param slots Number of slots; the gate may run fewer, never more.
      */
     virtual void setSlots(int slots) = 0;
 
     /**
-     * @brief Says how long requests may wait for a slot before the service counts as overloaded.
+     * @brief Sets the time that requests may wait for a slot before the service counts as overloaded.
      * @param target The service's declared queue target.
      */
     virtual void setQueueTarget(Duration target) = 0;
 
     /**
-     * @brief Gives what other daemons are to know.
+     * @brief Returns the load to be reported to other daemons.
      * @param now Current time.
-     * @return The load as observed.
+     * @return The observed load.
      */
     [[nodiscard]] virtual LoadReport load(SteadyTime now) const = 0;
 
     /**
-     * @brief Gives what the level is decided by, for logs.
+     * @brief Returns the figures that determine the level, for logs.
      * @param now Current time.
      * @return The figures; empty for a gate without a level.
      */
--- a/src/egretlatch/admission/gate_rules.hpp
+++ b/src/egretlatch/admission/gate_rules.hpp
@@ -8,19 +8,19 @@
 namespace egretlatch::admission
 {
 
-/*! @brief What an adaptive gate may rely on, and whom it refuses. */
+/*! @brief Assumptions of an adaptive gate about its server, and its rules for shedding. */
 struct GateRules
 {
-    /*! @brief The announced slots are what the server runs at a time, and nobody else sends it requests. */
+    /*! @brief The server can run as many requests as it announces slots, and only this daemon sends it requests. */
     bool areSlotsTrusted{};
     /**
      * @brief An inner call is refused only if its deadline cannot be met.
      *
-     * All that its root has cost so far is lost with it, so what is too much is refused as roots, at their entry. For
-     * configurations without worth, where the queue's order cannot tell a cheap loss from a dear one.
+     * Refusing it wastes all slot time that its root has used so far, so excess load is refused as roots, at their entry.
+     * Meant for configurations without worth, where the queue's order cannot tell a cheap loss from an expensive one.
      */
     bool keepsInnerCalls{};
-    /*! @brief Time that a queue may take to drain, whatever is declared and however short the runs are. */
+    /*! @brief Minimum target drain time of the queue, regardless of the declared queue target and run times. */
     std::chrono::milliseconds minDrainTarget{0};
     LevelTimes level;
 
--- a/src/egretlatch/admission/kind_pace.hpp
+++ b/src/egretlatch/admission/kind_pace.hpp
@@ -8,13 +8,13 @@
 namespace egretlatch::admission
 {
 
-/*! @brief How fast one backend server is at requests of a kind, and how often it fails them. */
+/*! @brief Recent run time and failure share of one backend server for requests of a kind. */
 struct KindPace
 {
     std::string kind;
-    /*! @brief Time that a run takes lately, without what it waits for inner calls. */
+    /*! @brief Recent mean time of a run, without its waits for inner calls. */
     Duration own{};
-    /*! @brief Part of the runs, 0 to 1, that it failed by itself lately: lost, turned away, or ended with a server error. */
+    /*! @brief Share of recent runs, 0 to 1, that this server itself failed: lost, rejected or a server error. */
     double failing{};
 
     friend bool operator==(const KindPace &, const KindPace &) = default;
--- a/src/egretlatch/admission/learned_chains.cpp
+++ b/src/egretlatch/admission/learned_chains.cpp
@@ -8,12 +8,12 @@
 namespace internal
 {
 
-// Runs that an average reaches back over: a graph changes with a release, and a few dozen runs take a second or less.
+// Runs covered by a moving average: the graph only changes with a release, and a few dozen runs take a second or less.
 constexpr int samplesInMean = 20;
-// Servers of one service differ in speed, and each tells of its own. Without a mean, a kind's cost, and with it its place in
-// the order, would change with each server that answers last.
+// Servers of one service differ in speed, and each reports its own times. Without a mean, the cost of a kind, and so its
+// class, would follow the server that answered last.
 constexpr int reportsInMean = 32;
-// Calls for each run below which a call counts as none, so that what is no longer made is forgotten.
+// Mean calls per run below which a call is dropped, so that calls that are no longer made are forgotten.
 constexpr double minCallsPerRun = 0.02;
 
 } // namespace internal
@@ -52,7 +52,7 @@
     remote.reports = std::min(remote.reports + 1, internal::reportsInMean);
     for (const auto &[service, held] : slotTimes) {
         Duration &known = remote.slotTimes[service];
-        // Nothing is told of a call whose own chain is not known yet.
+        // Zero means that the reporting daemon does not know the chain of that call yet.
         if (known == Duration{}) {
             known = held;
         } else if (held != Duration{}) {
--- a/src/egretlatch/admission/learned_chains.hpp
+++ b/src/egretlatch/admission/learned_chains.hpp
@@ -11,38 +11,39 @@
 {
 
 /**
- * @brief The call graph as it shows itself, for configurations that declare none.
+ * @brief Call graph learned from observed runs, for configurations that declare none.
  *
- * The daemon beside a backend server sees which calls its runs make. What those calls lead to is told by the daemons that
- * serve them, with their answers; so each daemon knows the whole chain of what it serves and tells it on.
+ * The daemon of a backend server observes which calls its runs make. The daemons that serve those calls report the further
+ * chain with their answers, so each daemon knows the whole chain of the kinds that it serves and reports it to its own
+ * callers.
  */
 class LearnedChains
 {
 public:
     /**
-     * @brief Notes a run that ended well at the backend server here.
-     * @param kind What ran.
-     * @param calls The calls that it made, by kind.
+     * @brief Records a successful run at the local backend server.
+     * @param kind Kind of the run.
+     * @param calls Number of inner calls that it made, by kind.
      * @param held Time that it held its slot.
      */
     void noteRun(const KindName &kind, const std::map<KindName, int> &calls, Duration held);
 
     /**
-     * @brief Takes what a serving daemon tells of a kind that it serves.
+     * @brief Records the chain that a serving daemon reported for a kind that it serves.
      * @param kind The kind.
-     * @param stops Its whole chain; an empty one says nothing.
+     * @param slotTimes Slot times of its whole chain; an empty chain is ignored.
      */
     void noteChain(const KindName &kind, const SlotTimeByService &slotTimes);
 
     /**
-     * @brief Gives the chain of a kind.
+     * @brief Returns the chain of a kind.
      * @param kind The kind.
-     * @return What is known; empty for a kind of which nothing is.
+     * @return The known chain; empty for an unknown kind.
      */
     [[nodiscard]] SlotTimeByService chain(const KindName &kind) const;
 
     /**
-     * @brief Gives the services that any kind of a service reaches, its own left out.
+     * @brief Returns the services that any kind of a service calls, directly or indirectly, without the service itself.
      * @param service Name of the service.
      * @return Names of the services.
      */
@@ -52,7 +53,7 @@
     struct LocalKind
     {
         Duration held{};
-        /*! @brief Calls for each run, on average. */
+        /*! @brief Mean number of calls per run. */
         std::map<KindName, double> calls;
     };
 
@@ -64,9 +65,9 @@
 
     [[nodiscard]] SlotTimeByService chainOfLocal(const KindName &kind, const LocalKind &local) const;
 
-    /*! @brief Kinds that ran here. */
+    /*! @brief Kinds that ran at the local backend server. */
     std::map<KindName, LocalKind> m_local;
-    /*! @brief Kinds that ran elsewhere. */
+    /*! @brief Kinds that other daemons serve, as reported by them. */
     std::map<KindName, RemoteKind> m_remote;
 };
 
--- a/src/egretlatch/admission/level_control.cpp
+++ b/src/egretlatch/admission/level_control.cpp
@@ -9,23 +9,24 @@
 namespace internal
 {
 
-// A class that is shed whole sends nothing; forgotten early, it would be opened in one go with all that lie below it.
+// A class that is refused entirely sends no requests. If it were forgotten early, it would be admitted in one step along
+// with all classes below it.
 constexpr std::chrono::seconds demandRetention{60};
 constexpr int samplesInTimeToGate = 20;
-// The admitted share of a class grows by this part of itself, then by more with each step that finds room.
+// The admitted share of a class first grows by this part of itself, and by more with each further step that finds capacity.
 constexpr double initialGrowth = 0.05;
 constexpr double growthFactor = 3.0;
 constexpr double maxGrowth = 1e6;
-// Share that a class is opened by at first.
+// Share of a fully refused class that is admitted first.
 constexpr double minShare = 0.005;
 constexpr double maxDrainRatioToLower = 0.5;
-// Part of the room that one step may open, where the demand of the class is known.
+// Part of the free capacity that one step may admit, if the demand of the class is known.
 constexpr double usedHeadroomShare = 0.7;
-// Share of the capacity.
+// Share of the capacity below which shed inner calls do not count.
 constexpr double negligibleShedShare = 0.005;
-// Demand above this share of the capacity is cut at once while the queue is too long.
+// While the queue is too long, demand above this share of the capacity is cut at once.
 constexpr double fullUtilization = 1.0;
-// Additional cut for each multiple of the target that the queue stands at, so that the queue itself goes away.
+// Additional cut per multiple of the target drain time above one, so that the backlog itself drains.
 constexpr double cutPerDrainRatio = 0.15;
 constexpr double maxCutForQueue = 0.3;
 
@@ -49,7 +50,7 @@
 
 void LevelControl::noteShed(const Ticket &ticket, const Duration slotTime, const SteadyTime now)
 {
-    // A root that is shed here has cost nothing yet, and the gate sheds in better order than any level.
+    // A root that is shed here has used no slot time yet, and the gate sheds more precisely by value than any level.
     if (ticket.isInner && admits(m_level, ticket.rankClass, ticket.root)) {
         add(m_shed, slotTime, now);
     }
@@ -149,7 +150,8 @@
         demand.rate -= cut;
         demand.updated = now;
         excess -= cut;
-        // A class that itself hardly waits is not cut for a queue of lower ones: those give way to it in the queue.
+        // A class that hardly waits itself is not cut for a queue of lower classes, because the queue serves it before
+        // them.
         if (excess <= 0.0 || state.drainRatioOf(state.queue.workAbove(rankClass)) <= 1.0) {
             return;
         }
--- a/src/egretlatch/admission/level_control.hpp
+++ b/src/egretlatch/admission/level_control.hpp
@@ -12,19 +12,19 @@
 namespace egretlatch::admission
 {
 
-/*! @brief What a gate sees of its load at one moment. */
+/*! @brief Snapshot of a gate's queue and limit. */
 struct QueueState
 {
     const AdmissionQueue &queue;
-    /*! @brief Time in which the line should drain. */
+    /*! @brief Time in which the queue should drain. */
     Duration target{};
-    /*! @brief Requests run at a time. */
+    /*! @brief Concurrency limit. */
     int limit{};
 
     /**
-     * @brief Gives how much too long it takes until some work has drained.
+     * @brief Returns the drain time of some work relative to the target.
      * @param work Slot time.
-     * @return 1 where it takes the time that is aimed at.
+     * @return 1 if the work drains in exactly the target time, more if it takes longer.
      */
     [[nodiscard]] double drainRatioOf(const Duration work) const
     {
@@ -33,18 +33,18 @@
 };
 
 /**
- * @brief Moves the level of one backend server.
+ * @brief Adjusts the admission level of one backend server to its demand.
  *
- * Demand is counted as slot time asked for a second, and only of requests that the present level admits: requests that
- * were let in by an older level are still on their way while a new one spreads, and counting them would raise the level
- * again for an excess that has already been cut.
+ * Demand is measured as requested slot time per second, and only of requests that the current level admits: requests
+ * admitted under an older level keep arriving while a new one propagates, and counting them would raise the level again for
+ * an excess that has already been cut.
  */
 class LevelControl
 {
 public:
     /**
-     * @brief Builds a control that lets all pass.
-     * @param times How fast it follows demand.
+     * @brief Creates a control that admits all requests.
+     * @param times Time constants for following demand.
      */
     explicit LevelControl(const LevelTimes &times = {})
         : m_times{times}
@@ -52,27 +52,27 @@
     }
 
     /**
-     * @brief Counts a request that came to the gate, whatever becomes of it.
+     * @brief Counts a request that arrived at the gate, whatever its outcome.
      * @param ticket The request.
-     * @param slotTime Slot time that it is expected to take.
+     * @param slotTime Expected slot time.
      * @param now Current time.
      */
     void noteArrival(const Ticket &ticket, Duration slotTime, SteadyTime now);
 
     /**
-     * @brief Counts a request that was shed after the level had let it pass.
+     * @brief Counts a request that was shed although the level admits it.
      *
-     * Where the services above are full themselves, no more arrives than can be run, and yet what waits too long is shed:
-     * demand alone does not show it.
+     * If the upstream services are full themselves, no more requests arrive than can be run, and yet requests that wait too
+     * long are shed. Demand alone does not show such an overload.
      * @param ticket The request.
-     * @param slotTime Slot time that it was expected to take.
+     * @param slotTime Expected slot time of the request.
      * @param now Current time.
      */
     void noteShed(const Ticket &ticket, Duration slotTime, SteadyTime now);
 
     /**
-     * @brief Moves the level where a step is due.
-     * @param pressure What the gate sees.
+     * @brief Adjusts the level if a step is due.
+     * @param state State of the gate.
      * @param now Current time.
      */
     void update(const QueueState &state, SteadyTime now);
@@ -83,23 +83,23 @@
     }
 
     /**
-     * @brief Gives what is asked for by requests that the level admits.
+     * @brief Returns the demand of the requests that the level admits.
      * @param now Current time.
-     * @return Slots that they would keep busy.
+     * @return Number of slots that they would keep busy.
      */
     [[nodiscard]] double admittedDemand(SteadyTime now) const;
 
     /**
-     * @brief Gives what was shed of inner calls that the level admits.
+     * @brief Returns the rate of shed inner calls that the level admits.
      * @param now Current time.
-     * @return Slots that they would have kept busy.
+     * @return Number of slots that they would have kept busy.
      */
     [[nodiscard]] double shedRate(SteadyTime now) const;
 
 private:
     struct Demand
     {
-        /*! @brief Slot seconds asked for a second, decaying. */
+        /*! @brief Requested slot seconds per second, exponentially decayed. */
         double rate{};
         SteadyTime updated;
         SteadyTime lastArrival;
@@ -117,10 +117,10 @@
     LevelTimes m_times;
     Level m_level;
     std::map<RankClass, Demand> m_demand;
-    /*! @brief Slot seconds shed a second of inner calls that the present level admits. */
+    /*! @brief Shed slot seconds per second of inner calls that the current level admits. */
     Demand m_shed;
     double m_growth{};
-    /*! @brief Time that requests have been under way from their entry to this gate, on average. */
+    /*! @brief Mean time between the entry of requests and their arrival at this gate, taken from their invested slot time. */
     Duration m_meanTimeToGate{};
     SteadyTime m_lastStep;
     SteadyTime m_lastLowered;
--- a/src/egretlatch/admission/level_reports.cpp
+++ b/src/egretlatch/admission/level_reports.cpp
@@ -39,7 +39,7 @@
     }
     std::vector<Level> levels;
     for (const auto &[daemon, reported] : m_reports) {
-        // A server that told nothing while its peers did says nothing of now.
+        // The level of a server that did not report while its peers did is out of date.
         if (m_aggregate.at - reported.at < internal::comparableAge) {
             levels.push_back(reported.level);
         }
--- a/src/egretlatch/admission/level_reports.hpp
+++ b/src/egretlatch/admission/level_reports.hpp
@@ -10,21 +10,22 @@
 namespace egretlatch::admission
 {
 
-/*! @brief The levels that the daemons of one service told lately. */
+/*! @brief Levels that the daemons of one service reported recently. */
 class LevelReports
 {
 public:
     /**
-     * @brief Notes a level.
-     * @param daemon The daemon that told it.
-     * @param level The level, with the time at which the daemon it stands at told it.
+     * @brief Records a level.
+     * @param daemon Daemon that reported it.
+     * @param level The level, with the time at which that daemon reported it.
      */
     void note(const DaemonId &daemon, const ReportedLevel &level);
 
     /**
-     * @brief Gives the level of the service as a whole.
+     * @brief Returns the level of the service as a whole.
      * @param now Current time.
-     * @return The median of the daemons' levels, the lower one of two; the lowest where nothing recent was told.
+     * @return The median of the daemons' levels, the lower one of two; the lowest possible level if there is no recent
+     * report.
      */
     [[nodiscard]] ReportedLevel aggregate(SteadyTime now);
 
@@ -35,10 +36,11 @@
 };
 
 /**
- * @brief Gives the chance that a level is disregarded for its age.
+ * @brief Returns the probability that a level is ignored because of its age.
  *
- * Where everything is refused nothing is told any more, and a level that stood until news came would stand for ever.
- * @param noted The level.
+ * While every request is refused, no answer brings a new report, so a level that held until the next report would hold
+ * forever.
+ * @param reported The level.
  * @param now Current time.
  * @return 0 for a fresh level, 1 from one second on.
  */
--- a/src/egretlatch/admission/load_report.hpp
+++ b/src/egretlatch/admission/load_report.hpp
@@ -7,16 +7,16 @@
 namespace egretlatch::admission
 {
 
-/*! @brief What a serving daemon tells of its backend server with each answer. */
+/*! @brief Load of a backend server, reported by its daemon with each answer. */
 struct LoadReport
 {
     int inFlight{};
-    /*! @brief Requests that it lets run at a time now. */
+    /*! @brief Current concurrency limit. */
     int limit{};
     int queued{};
-    /*! @brief Requests below this are refused. */
+    /*! @brief Admission level; requests below it are refused. */
     Level level;
-    /*! @brief Time that requests wait for a slot now. */
+    /*! @brief Current wait for a slot. */
     Duration queueDelay{};
     bool draining{};
 
--- a/src/egretlatch/admission/open_entry.cpp
+++ b/src/egretlatch/admission/open_entry.cpp
@@ -22,11 +22,11 @@
     return {.priority = rank.priority, .density = 0};
 }
 
-void OpenEntry::noteLoad(const ServerLoadReport & /*news*/, const SteadyTime /*now*/)
+void OpenEntry::noteLoad(const ServerLoadReport & /*report*/, const SteadyTime /*now*/)
 {
 }
 
-void OpenEntry::noteLevel(const ServiceLevelReport & /*news*/)
+void OpenEntry::noteLevel(const ServiceLevelReport & /*report*/)
 {
 }
 
--- a/src/egretlatch/admission/open_entry.hpp
+++ b/src/egretlatch/admission/open_entry.hpp
@@ -6,7 +6,7 @@
 namespace egretlatch::admission
 {
 
-/*! @brief A baseline: lets every root in. */
+/*! @brief Baseline without entry control: admits every root. */
 class OpenEntry final : public EntryControl
 {
 public:
--- a/src/egretlatch/admission/open_gate.hpp
+++ b/src/egretlatch/admission/open_gate.hpp
@@ -8,7 +8,7 @@
 namespace egretlatch::admission
 {
 
-/*! @brief A baseline: hands every request to the backend server at once, whatever its slots and the time left. */
+/*! @brief Baseline without a limit: starts every request at once, regardless of slots and remaining time. */
 class OpenGate final : public Gate
 {
 public:
--- a/src/egretlatch/admission/pace_meter.cpp
+++ b/src/egretlatch/admission/pace_meter.cpp
@@ -8,12 +8,12 @@
 namespace internal
 {
 
-// Runs of one kind differ by half their time; the mean of so many is good to a tenth, and a server that turns slow is known
-// within a second at the rates of a full one.
+// Run times of one kind vary by half; the mean of 20 runs is accurate to a tenth, and a server that becomes slow is
+// detected within a second at the request rate of a fully loaded server.
 constexpr int runsInMean = 20;
 constexpr int minRuns = 4;
 constexpr std::chrono::seconds paceLifetime{5};
-// Kinds come with configurations and go; so many are remembered.
+// Bounds the memory for kinds, which come and go with configurations.
 constexpr std::size_t maxKinds = 64;
 
 } // namespace internal
--- a/src/egretlatch/admission/pace_meter.hpp
+++ b/src/egretlatch/admission/pace_meter.hpp
@@ -11,52 +11,52 @@
 namespace egretlatch::admission
 {
 
-/*! @brief Measures how fast the backend server beside a daemon is, and how often it fails. */
+/*! @brief Measures run times and failures of the local backend server, by kind. */
 class PaceMeter
 {
 public:
     /**
-     * @brief Takes a run that ended well.
+     * @brief Records a successful run.
      * @param kind Kind of the request.
-     * @param own Time of the run without what it waited for inner calls.
+     * @param own Time of the run without its waits for inner calls.
      * @param now Current time.
      */
     void noteCompleted(const std::string &kind, Duration own, SteadyTime now);
 
     /**
-     * @brief Takes a run that the server failed by itself.
+     * @brief Records a run that failed at the server itself.
      * @param kind Kind of the request.
      * @param now Current time.
      */
     void noteFailed(const std::string &kind, SteadyTime now);
 
     /**
-     * @brief Takes a run that was given up: it would have taken longer still.
+     * @brief Records an abandoned run, whose full time would have been longer.
      * @param kind Kind of the request.
-     * @param own Time of the run so far, without what it waited for inner calls.
+     * @param own Time of the run so far, without its waits for inner calls.
      * @param now Current time.
      */
     void noteAbandoned(const std::string &kind, Duration own, SteadyTime now);
 
     /**
-     * @brief Gives the pace at one kind.
+     * @brief Returns the pace of one kind.
      * @param kind Kind of the request.
      * @param now Current time.
-     * @return The pace, or nothing with too few runs or none lately.
+     * @return The pace, or nothing if there were too few runs or none recently.
      */
     [[nodiscard]] std::optional<KindPace> paceAt(const std::string &kind, SteadyTime now) const;
 
     /**
-     * @brief Gives what there is to tell other daemons.
+     * @brief Returns the paces to be reported to other daemons.
      * @param now Current time.
-     * @return The paces at the kinds that ran lately, at most `mostTold`.
+     * @return The paces of the kinds that ran recently, at most `maxReportedPaces`.
      */
     [[nodiscard]] std::vector<KindPace> paces(SteadyTime now) const;
 
-    /*! @brief Forgets everything: another server is there. */
+    /*! @brief Discards all measurements, because another server has taken the place of the old one. */
     void clear();
 
-    /*! @brief Paces that are told of one server at most; each costs some 20 bytes a message. */
+    /*! @brief Maximum number of paces reported for one server; each adds about 20 bytes to a message. */
     static constexpr std::size_t maxReportedPaces = 4;
 
 private:
--- a/src/egretlatch/admission/priority_gate.hpp
+++ b/src/egretlatch/admission/priority_gate.hpp
@@ -10,14 +10,15 @@
 namespace egretlatch::admission
 {
 
-/*! @brief A baseline: a static limit, then a queue by priority of the root, in order of arrival within a priority. */
+/*! @brief Baseline with a static limit and a queue ordered by priority of the root, then by arrival. */
 class PriorityGate final : public SlotGate
 {
 public:
     /**
-     * @brief Builds a gate.
+     * @brief Creates a gate.
      * @param slots Number of slots.
-     * @param queueCapacity Requests that may wait; beyond it the latest of the lowest priority is refused.
+     * @param queueCapacity Maximum number of queued requests; beyond it, the latest request of the lowest priority is
+     * refused.
      */
     PriorityGate(int slots, std::size_t queueCapacity);
 
@@ -25,7 +26,7 @@
     [[nodiscard]] bool withdraw(ExecutionId execution) override;
 
 private:
-    /*! @brief By priority, the highest first; none of the queues is empty. */
+    /*! @brief Queues by priority, the highest first; none of them is empty. */
     using Queues = std::map<int, std::deque<Ticket>, std::greater<>>;
 
     [[nodiscard]] const Ticket *next() const override;
--- a/src/egretlatch/admission/rank.hpp
+++ b/src/egretlatch/admission/rank.hpp
@@ -12,38 +12,38 @@
 namespace egretlatch::admission
 {
 
-/*! @brief How valuable a request is; inner calls inherit it from their root. */
+/*! @brief Value of a request; inner calls inherit it from their root. */
 struct Rank
 {
     /*! @brief Priority of the root's kind, 0 to 9; higher is shed later. */
     int priority{};
-    /*! @brief What the root earns when it completes whole. */
+    /*! @brief Value earned when the root completes as a whole. */
     double worth{};
-    /*! @brief Slot time that has been spent on the root so far. */
+    /*! @brief Slot time that the root has used so far. */
     Duration invested{};
 
     friend bool operator==(const Rank &, const Rank &) = default;
 };
 
-/*! @brief The requests that are shed alike: those of one priority and about one worth density. */
+/*! @brief Class of requests that are shed alike: those of one priority and about the same worth density. */
 struct RankClass
 {
     int priority{};
-    /*! @brief Worth for a second of slot time, in octaves; 0 for requests that earn nothing. */
+    /*! @brief Worth per second of slot time, on a log2 scale in whole steps; 0 for requests without worth. */
     int density{};
 
     friend auto operator<=>(const RankClass &, const RankClass &) = default;
 };
 
 /**
- * @brief Gives the class that a rank has at one service.
+ * @brief Returns the class of a rank at one service.
  *
- * It rests on the slot time that is needed there, so a root may be dense at one service and thin at another, and each
- * service that is short of slots keeps the roots that make the most of its own. The steps are coarse, so that kinds of
- * nearly the same density are shed in shares of each rather than one after the other, and so that one kind is in one class
- * on all daemons although each observes its cost a little differently.
+ * The class depends on the slot time needed at that service, so a root may have a high density at one service and a low one
+ * at another, and each overloaded service keeps the roots with the most worth for its own slots. The steps are coarse, so
+ * that kinds of nearly the same density are shed in shares of each rather than one after the other, and so that a kind is
+ * in the same class on all daemons although each observes a slightly different cost.
  * @param rank The rank.
- * @param held Slot time of the service that counts for it, as declared or observed.
+ * @param held Slot time that the root takes at the service, as declared or observed.
  * @return The class.
  */
 [[nodiscard]] inline RankClass classOf(const Rank &rank, const Duration held) noexcept
@@ -60,16 +60,16 @@
 }
 
 /**
- * @brief A threshold that a daemon admits requests by.
+ * @brief Admission threshold of a service.
  *
- * Requests of a lower class are refused. Of the same class, the share `fraction` is refused, and it is the same roots on
- * every daemon, since the share is taken by a hash of the root.
+ * Requests of a lower class are refused. Of the same class, the share `fraction` is refused; every daemon refuses the same
+ * roots, because they are selected by a hash of the root.
  */
 struct Level
 {
     int priority{};
     int density{};
-    /*! @brief Refused share of that class, 0 to 1. */
+    /*! @brief Refused share of this class, 0 to 1. */
     double fraction{};
 
     [[nodiscard]] RankClass rankClass() const noexcept
@@ -81,7 +81,7 @@
 };
 
 /**
- * @brief Gives a root's place within its class.
+ * @brief Maps a root to a fixed position within its class.
  * @param root The root.
  * @return A number in [0, 1), the same on every daemon.
  */
@@ -93,7 +93,7 @@
 }
 
 /**
- * @brief Tells whether a level lets a request pass.
+ * @brief Checks if a level admits a request.
  * @param level The threshold of a service.
  * @param rankClass Class of the request at that service.
  * @param root Root of the request.
--- a/src/egretlatch/admission/reported_level.hpp
+++ b/src/egretlatch/admission/reported_level.hpp
@@ -7,7 +7,7 @@
 namespace egretlatch::admission
 {
 
-/*! @brief A level with the time at which it was told. */
+/*! @brief Level with the time at which it was reported. */
 struct ReportedLevel
 {
     Level level;
--- a/src/egretlatch/admission/root_costs.hpp
+++ b/src/egretlatch/admission/root_costs.hpp
@@ -13,16 +13,16 @@
 {
 
 /**
- * @brief Slot time that a root takes at each service of its chain, all its inner calls there taken together.
+ * @brief Slot time that a root takes at each service of its chain, summed over all its inner calls there.
  *
- * Goes along with the root's calls, so that a service tells a root by what it costs there as a whole: one of eight short
- * calls is not cheap. Services go by a short hash of their names, since this is sent with each call; of two with the same
- * hash the dearer counts for both.
+ * Sent with the root's calls, so that a service ranks a root by its total cost there: a root with eight short calls is not
+ * cheap because each call is. Services are identified by a 32-bit hash of their names to keep the messages small; if two
+ * services have the same hash, the higher cost counts for both.
  */
 class RootCosts
 {
 public:
-    /*! @brief One service of the chain. */
+    /*! @brief Cost at one service of the chain. */
     struct ServiceCost
     {
         std::uint32_t service{};
@@ -34,14 +34,14 @@
     RootCosts() = default;
 
     /**
-     * @brief Takes the costs of a chain.
-     * @param chain The chain.
+     * @brief Creates the costs from the slot times of a chain.
+     * @param chain Slot times by service.
      */
     explicit RootCosts(const SlotTimeByService &chain);
 
     /**
-     * @brief Takes costs that came with a call.
-     * @param stops The costs.
+     * @brief Creates the costs from those received with a call.
+     * @param costs The costs.
      */
     explicit RootCosts(std::vector<ServiceCost> costs)
         : m_costs{std::move(costs)}
@@ -49,9 +49,9 @@
     }
 
     /**
-     * @brief Gives the cost at a service.
+     * @brief Returns the cost at a service.
      * @param service Name of the service.
-     * @return Nothing if none is known.
+     * @return The cost, or nothing if none is known.
      */
     [[nodiscard]] std::optional<Duration> at(const std::string &service) const;
 
--- a/src/egretlatch/admission/run_estimator.cpp
+++ b/src/egretlatch/admission/run_estimator.cpp
@@ -10,9 +10,9 @@
 
 constexpr std::chrono::milliseconds estimateWindow{500};
 constexpr int samplesInMean = 10;
-// Ended runs from which the shortest of them is a bound for the next one.
+// Minimum number of completed runs for the shortest of them to be a bound for the next run.
 constexpr int minRunsForBound = 5;
-// Part, in hundredths, of what fewer runs show that is taken for a bound.
+// Percentage of the observed time that is used as the bound if there were fewer runs.
 constexpr int partialBoundPercent = 80;
 constexpr int wholePercent = 100;
 
@@ -70,8 +70,8 @@
     if (ended >= internal::minRunsForBound) {
         return shortestCompleted;
     }
-    // A few runs, or one that was cut short, say that this much was needed by them, not by every other; a rare kind whose
-    // one long run was cut at its time would else be refused with all its time left.
+    // A few runs, or one abandoned run, do not bound every other run. Without the reduction, a rare kind whose only run was
+    // abandoned at its deadline would be refused even with all of its time left.
     return (ended > 0 ? shortestCompleted : abandoned) * internal::partialBoundPercent / internal::wholePercent;
 }
 
--- a/src/egretlatch/admission/run_estimator.hpp
+++ b/src/egretlatch/admission/run_estimator.hpp
@@ -9,12 +9,12 @@
 namespace egretlatch::admission
 {
 
-/*! @brief Learns how long the runs of each kind hold a slot. */
+/*! @brief Estimates the time that runs of each kind hold a slot. */
 class RunEstimator
 {
 public:
     /**
-     * @brief Notes a run that gave an answer.
+     * @brief Records a run that was answered.
      * @param kind Its kind.
      * @param held Time that it held its slot.
      * @param now Current time.
@@ -22,29 +22,29 @@
     void noteCompleted(const std::string &kind, Duration held, SteadyTime now);
 
     /**
-     * @brief Notes a run that was cut short, so that only a lower bound is known.
+     * @brief Records an abandoned run, whose time is only a lower bound.
      * @param kind Its kind.
-     * @param held Time that it held its slot until then.
+     * @param held Time that it held its slot until it was abandoned.
      * @param now Current time.
      */
     void noteAbandoned(const std::string &kind, Duration held, SteadyTime now);
 
     /**
-     * @brief Gives the time that a run is expected to hold its slot.
+     * @brief Returns the expected time that a run holds its slot.
      * @param kind Its kind.
-     * @param declared Time to assume where nothing has been seen.
-     * @return A moving average of what was seen.
+     * @param declared Time to assume without observed runs.
+     * @return The moving average of the observed times.
      */
     [[nodiscard]] Duration expected(const std::string &kind, Duration declared) const;
 
     /**
-     * @brief Gives a time that a run needs at the very least.
+     * @brief Returns a lower bound of the time that a run needs.
      *
-     * It rests on the last second alone. A bound that stayed would refuse every request of a kind after a slow phase, no
-     * run would be seen, and it would never be corrected.
+     * Only runs of the last second count. A lasting bound would refuse every request of a kind after a slow phase; without
+     * new runs it would never be corrected.
      * @param kind Its kind.
      * @param now Current time.
-     * @return The shortest run seen lately; zero where none was seen.
+     * @return The shortest recent run, reduced if there were few; zero without recent runs.
      */
     [[nodiscard]] Duration shortest(const std::string &kind, SteadyTime now) const;
 
--- a/src/egretlatch/admission/slot_gate.hpp
+++ b/src/egretlatch/admission/slot_gate.hpp
@@ -8,7 +8,7 @@
 namespace egretlatch::admission
 {
 
-/*! @brief What the baselines share: as many runs at a time as there are slots, the rest waits in an order of their own. */
+/*! @brief Base of the baseline gates with a static limit: one run per slot, the others queued in an order of the subclass. */
 class SlotGate : public Gate
 {
 public:
@@ -20,32 +20,32 @@
 
 protected:
     /**
-     * @brief Builds a gate.
+     * @brief Creates a gate.
      * @param slots Number of slots.
      */
     explicit SlotGate(int slots);
 
     /**
-     * @brief Starts what waits while slots are free, and refuses what has waited past its deadline.
+     * @brief Starts queued requests while slots are free, and refuses those whose deadline has passed.
      * @param now Current time.
-     * @param release Takes what was started and refused.
+     * @param release Receives the started and refused requests.
      */
     void startWaiting(SteadyTime now, GateRelease &release);
 
     /**
-     * @brief Makes the refusal of a request for which the queue has no room.
+     * @brief Creates the refusal of a request for which the queue has no room.
      * @param execution The request.
      * @return The refusal.
      */
     [[nodiscard]] GateRefusal queueFull(ExecutionId execution) const;
 
-    /*! @brief The request that is next; null with nothing waiting. */
+    /*! @brief Returns the next request, or null for an empty queue. */
     [[nodiscard]] virtual const Ticket *next() const = 0;
 
-    /*! @brief Takes the request that is next out of the queue. */
+    /*! @brief Removes the next request from the queue. */
     virtual void dropNext() = 0;
 
-    /*! @brief Requests that wait. */
+    /*! @brief Returns the number of queued requests. */
     [[nodiscard]] virtual std::size_t queued() const = 0;
 
 private:
--- a/src/egretlatch/admission/slot_time_by_service.hpp
+++ b/src/egretlatch/admission/slot_time_by_service.hpp
@@ -12,7 +12,7 @@
 
 using manifest::KindName;
 
-/*! @brief Slot time that one request takes at each service down its chain. */
+/*! @brief Slot time that one request takes at each service of its call chain, by service name. */
 using SlotTimeByService = std::map<std::string, Duration>;
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/admission/static_gate.hpp
+++ b/src/egretlatch/admission/static_gate.hpp
@@ -8,14 +8,14 @@
 namespace egretlatch::admission
 {
 
-/*! @brief A baseline: as many runs at a time as there are slots, then a queue in order of arrival. */
+/*! @brief Baseline with a static limit and a queue in order of arrival. */
 class StaticGate final : public SlotGate
 {
 public:
     /**
-     * @brief Builds a gate.
+     * @brief Creates a gate.
      * @param slots Number of slots.
-     * @param queueCapacity Requests that may wait.
+     * @param queueCapacity Maximum number of queued requests.
      */
     StaticGate(int slots, std::size_t queueCapacity);
 
--- a/src/egretlatch/admission/whole_chain_entry.cpp
+++ b/src/egretlatch/admission/whole_chain_entry.cpp
@@ -10,12 +10,12 @@
 namespace internal
 {
 
-// A class that is let in by shares has room for a caller that comes back while its answer is still worth all it can be.
+// A partly admitted class has capacity for a caller that retries soon, while its answer still has its full worth.
 constexpr std::chrono::milliseconds retryAfterWithinClass{250};
 constexpr std::chrono::milliseconds retryAfterOutsideClass{2000};
 constexpr std::chrono::milliseconds retryAfterSpread{500};
 
-/*! @brief A root that a service would refuse. */
+/*! @brief Service that refuses a root, with the class of the root and the reported level. */
 struct RefusingService
 {
     const std::string &service;
@@ -27,7 +27,7 @@
 {
     const bool isWithinClass = refusing.rankClass == refusing.reported.level.rankClass();
     const std::chrono::milliseconds shortest = isWithinClass ? retryAfterWithinClass : retryAfterOutsideClass;
-    // Callers that were refused together must not come back together.
+    // Spreads the retries of callers that were refused at the same time.
     return shortest + std::chrono::duration_cast<std::chrono::milliseconds>(hashFraction(root) * retryAfterSpread);
 }
 
@@ -86,7 +86,7 @@
 
 void WholeChainEntry::noteLoad(const ServerLoadReport &report, const SteadyTime now)
 {
-    // An attempt that never left, and a daemon without a backend server, tell of no limit and so of no load.
+    // An attempt that was never sent and a daemon without a backend server have a limit of zero, and report no load.
     if (report.load.limit > 0) {
         m_levels[report.service].direct.note(report.daemon, {.level = report.load.level, .at = now});
     }
@@ -94,9 +94,9 @@
 
 void WholeChainEntry::noteLevel(const ServiceLevelReport &report)
 {
-    // News of one service come round by several ways, and by cycles of daemons that call one another come back to where
-    // they were. Only what stood later than all that is known is taken, by the time at the service itself, so old news
-    // are never made young again.
+    // Levels of one service arrive over several paths, and return to their sender where daemons call each other in a cycle.
+    // Only a level that is newer than the known one is taken, by the time at the service itself, so an old level never
+    // replaces a newer one.
     ReportedLevel &known = m_levels[report.service].forwarded;
     if (report.reported.at > known.at) {
         known = report.reported;
--- a/src/egretlatch/admission/whole_chain_entry.hpp
+++ b/src/egretlatch/admission/whole_chain_entry.hpp
@@ -13,18 +13,18 @@
 {
 
 /**
- * @brief Refuses a root at once where the level of a service down its chain would refuse it.
+ * @brief Entry control that refuses a root if the level of any service of its call chain would refuse it.
  *
- * A root that fails at the tenth service has held slots at nine. Its place within its class is the same on each daemon, so
- * one that passes here passes further down as long as the levels stand.
+ * A root that is refused at the tenth service has already held slots at nine. Its position within its class is the same on
+ * every daemon, so a root admitted here is also admitted downstream while the levels do not change.
  */
 class WholeChainEntry final : public EntryControl
 {
 public:
     /**
-     * @brief Builds the control.
+     * @brief Creates the control.
      * @param random Source of random numbers for probes; must outlive it.
-     * @param costSource Where costs are known from.
+     * @param costSource Source of the costs.
      */
     explicit WholeChainEntry(RandomSource &random, CostSource costSource = CostSource::declared);
 
@@ -43,9 +43,9 @@
 private:
     struct KnownLevels
     {
-        /*! @brief What its serving daemons told of themselves. */
+        /*! @brief Levels that its serving daemons reported themselves. */
         LevelReports direct;
-        /*! @brief The latest of what the daemons between told of it. */
+        /*! @brief Latest level that intermediate daemons forwarded. */
         ReportedLevel forwarded;
     };
 
--- a/test/egretlatch/admission/adaptive_gate.cpp
+++ b/test/egretlatch/admission/adaptive_gate.cpp
@@ -11,7 +11,7 @@
 using namespace egretlatch::admission;
 using namespace tests;
 
-TEST_CASE("a free slot is used at once")
+TEST_CASE("a request takes a free slot at once")
 {
     AdaptiveGate gate;
     gate.setSlots(2);
@@ -21,7 +21,7 @@
     CHECK(gate.offer(rootTicket(3, 9), start).started.empty());
 }
 
-TEST_CASE("a freed slot goes to the root of the highest priority, whoever came first")
+TEST_CASE("a freed slot goes to the root of the highest priority, regardless of arrival order")
 {
     AdaptiveGate gate;
     gate.setSlots(1);
@@ -34,7 +34,7 @@
     CHECK(release.started == std::vector{ExecutionId{3}});
 }
 
-TEST_CASE("an inner call goes before a new root of its class, but not before one of a higher priority")
+TEST_CASE("an inner call precedes a new root of its class, but not one of a higher priority")
 {
     AdaptiveGate gate;
     gate.setSlots(1);
@@ -48,10 +48,10 @@
     CHECK(gate.finish({3}, success(1ms), start + 3ms).started == std::vector{ExecutionId{2}});
 }
 
-TEST_CASE("what does not fit in the queue is refused at once, with the figures that decided and when to come back")
+TEST_CASE("a request that does not fit in the queue is refused at once, with figures and a retry delay")
 {
-    // A caller sends while the server is full. Held back until its deadline it would learn nothing and could not go
-    // elsewhere; so the refusal comes in the same step as the offer.
+    // Guards against requests that wait until their deadline at a full server: their callers could not go elsewhere. The
+    // refusal must come in the same step as the offer.
     AdaptiveGate gate;
     gate.setSlots(1);
     std::vector<GateRefusal> refused;
@@ -67,10 +67,10 @@
     CHECK(refused.front().retryAfter > 0ms);
 }
 
-TEST_CASE("a request whose time left is shorter than any run lately is refused without running")
+TEST_CASE("a request with less remaining time than any recent run is refused without running")
 {
-    // A deep service has become slow; each run takes 400 ms. A caller with 100 ms left would hold a slot to its deadline
-    // and get nothing. A second after the last slow run the kind is tried again.
+    // Guards against runs that cannot complete: a service has become slow and each run takes 400 ms, so a request with 100
+    // ms left would hold a slot until its deadline for nothing. One second after the last slow run the kind is tried again.
     AdaptiveGate gate;
     gate.setSlots(4);
     static_cast<void>(gate.offer(rootTicket(1, 5), start));
@@ -87,10 +87,11 @@
     CHECK(gate.offer(later, start + 2s).started == std::vector{ExecutionId{3}});
 }
 
-TEST_CASE("an inner call does not hold the slots above it for longer than four times the queue target")
+TEST_CASE("an inner call holds upstream slots for at most four times the queue target")
 {
-    // A history request waits at launch-log behind launch entries that never end; meanwhile the run that made it holds a
-    // slot of flight-history, to its deadline if nobody intervenes, and other histories find no slot.
+    // Guards against inner calls that block upstream slots: a history request waits at launch-log behind launch entries
+    // that never end, while the run that made it holds a slot of flight-history until its deadline, and other histories
+    // find no slot.
     AdaptiveGate gate;
     gate.setSlots(1);
     gate.setQueueTarget(20ms);
@@ -101,10 +102,10 @@
     CHECK(gate.tick(start + 90ms).refused.size() == 1);
 }
 
-TEST_CASE("the level rises within tens of milliseconds of a surge and is gone a second after it")
+TEST_CASE("the level rises within tens of milliseconds of a surge and is reset one second after it")
 {
-    // Callers send five times what the server can run, then stop. If the level stayed, the entries would refuse requests
-    // that an idle server could run: overload outlasting its cause.
+    // Guards against overload that outlasts its cause: callers send five times the server's capacity, then stop. If the
+    // level stayed up, the entries would refuse requests that an idle server could run.
     AdaptiveGate gate;
     gate.setSlots(4);
     std::vector<ExecutionId> running;
@@ -138,7 +139,7 @@
     CHECK(gate.load(now).level == Level{});
 }
 
-TEST_CASE("whatever happens, the limit holds, expired work never starts and no request is lost")
+TEST_CASE("under random operations the limit holds, expired requests never start and no request is lost")
 {
     CHECK(rc::check([] {
         AdaptiveGate gate;
--- a/test/egretlatch/admission/baseline_gates.cpp
+++ b/test/egretlatch/admission/baseline_gates.cpp
@@ -10,7 +10,7 @@
 using namespace egretlatch::admission;
 using namespace tests;
 
-TEST_CASE("the open gate starts everything at once")
+TEST_CASE("the open gate starts every request at once")
 {
     OpenGate gate;
     gate.setSlots(1);
--- a/test/egretlatch/admission/concurrency_limit.cpp
+++ b/test/egretlatch/admission/concurrency_limit.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-// Runs a server that is always full: each run takes `latencyAt(limit)`, and as many end at a time as the limit allows.
+// Simulates a server that is always full: each run takes `latencyAt(limit)`, and each round ends as many runs as the limit
+// allows.
 template<typename LatencyAt>
 void runFull(ConcurrencyLimit &limit, SteadyTime &now, const int rounds, LatencyAt latencyAt)
 {
@@ -27,10 +28,10 @@
 
 } // namespace
 
-TEST_CASE("a server that has less room than it announces gets fewer runs at a time")
+TEST_CASE("a server with less capacity than it announces gets a lower limit")
 {
-    // A backend server announces 16 slots and runs four at a time; the others wait inside it, where nobody puts them in
-    // order, and each request takes four times as long.
+    // A backend server announces 16 slots but runs four requests at a time. The others wait in its internal queue, which is
+    // not ordered by value, and each request takes four times as long.
     ConcurrencyLimit limit;
     limit.setSlots(16);
     SteadyTime now = start;
@@ -46,10 +47,10 @@
     CHECK(limit.value() <= 8);
 }
 
-TEST_CASE("a server that has become slow keeps its slots")
+TEST_CASE("a server that became slow keeps its limit")
 {
-    // A deep service takes ten times as long for each run, whatever the number of runs. Taking slots from it would only
-    // lose throughput.
+    // Each run takes ten times as long, regardless of the number of concurrent runs. A lower limit would only lose
+    // throughput.
     ConcurrencyLimit limit;
     limit.setSlots(16);
     SteadyTime now = start;
@@ -67,7 +68,7 @@
     CHECK(lowest >= 14);
 }
 
-TEST_CASE("a server that refuses for lack of capacity gets less, and more again when it takes it")
+TEST_CASE("the limit drops when a server rejects for lack of capacity and grows back once it accepts")
 {
     ConcurrencyLimit limit;
     limit.setSlots(10);
@@ -82,7 +83,7 @@
     CHECK(limit.value() == 10);
 }
 
-TEST_CASE("the limit never leaves one to the announced slots")
+TEST_CASE("the limit stays between one and the announced slots")
 {
     ConcurrencyLimit limit;
     limit.setSlots(3);
--- a/test/egretlatch/admission/crash_suspects.cpp
+++ b/test/egretlatch/admission/crash_suspects.cpp
@@ -16,10 +16,10 @@
 
 } // namespace
 
-TEST_CASE("a request that was there at three crashes is refused, and let in again long after the last")
+TEST_CASE("a request that was running at three crashes is refused until the crashes expire")
 {
-    // One request crashes each server that runs it. It comes again at any daemon, so each crash counts wherever it was seen,
-    // and once.
+    // A request that crashes each server that runs it is resent through any daemon, so each crash counts wherever it was
+    // observed, but only once.
     CrashSuspects suspects;
     suspects.noteCrash("crash/a", {culprit}, start);
     suspects.noteCrash("crash/a", {culprit}, start);
@@ -33,7 +33,7 @@
     CHECK_FALSE(suspects.isQuarantined(culprit, start + CrashSuspects::crashLifetime));
 }
 
-TEST_CASE("what ran beside the culprit is not refused once it has run well")
+TEST_CASE("a request that ran along with the culprit is not refused once it has succeeded")
 {
     CrashSuspects suspects;
     suspects.noteCrash("crash/a", {culprit, bystander}, start);
@@ -46,7 +46,7 @@
     CHECK_FALSE(suspects.noteSuccess(3));
 }
 
-TEST_CASE("requests that differ in method, path, body or calling service have fingerprints of their own")
+TEST_CASE("requests that differ in method, path, body or calling service have different fingerprints")
 {
     const RequestFingerprint one = fingerprintOf("GET", "/a/1", "history", "body");
     CHECK(one == fingerprintOf("GET", "/a/1", "history", "body"));
@@ -56,7 +56,7 @@
     CHECK(one != fingerprintOf("GET", "/a/1", "history", "other"));
 }
 
-TEST_CASE("fingerprints come back from bytes as they were, and other bytes do no harm")
+TEST_CASE("fingerprints survive serialization, and arbitrary bytes are parsed without errors")
 {
     rc::check([](const std::vector<RequestFingerprint> &requests) {
         const std::vector<RequestFingerprint> read = fingerprintsFrom(toBytes(requests));
--- a/test/egretlatch/admission/gate_rules.cpp
+++ b/test/egretlatch/admission/gate_rules.cpp
@@ -8,10 +8,10 @@
 using namespace egretlatch::admission;
 using namespace tests;
 
-TEST_CASE("a gate that keeps inner calls refuses roots before them, and never an inner call that can still finish")
+TEST_CASE("a gate that keeps inner calls refuses roots instead, and never an inner call that can still finish")
 {
-    // A root has run for half a second at three services, and its last call is refused for lack of room: all of it is
-    // wasted, and its caller sends it again. What is too much is to be refused as roots, which have cost nothing.
+    // Guards against wasted work: a root has run for half a second at three services and its last call is refused for lack
+    // of capacity, so its caller sends it again. Excess load must be refused as roots, which have used no slot time.
     AdaptiveGate gate{{.areSlotsTrusted = true, .keepsInnerCalls = true, .minDrainTarget = 0ms, .level = {}}};
     gate.setSlots(1);
     std::size_t refusedInner = 0;
@@ -31,10 +31,10 @@
     CHECK(refusedRoots > 10);
 }
 
-TEST_CASE("a gate that trusts the slots keeps offering them while the server rejects and loses")
+TEST_CASE("a gate that trusts the slots keeps its limit when the server rejects requests or loses connections")
 {
     // Half of the answers of healthy servers are lost, or half of the requests are shed at random. Backing off left one
-    // slot of eleven in use, and roots were refused for a service that stood empty.
+    // slot of eleven in use, and roots were refused for an idle service.
     const auto slotsInUse = [](const GateRules &rules) {
         AdaptiveGate gate{rules};
         gate.setSlots(8);
--- a/test/egretlatch/admission/learned_chains.cpp
+++ b/test/egretlatch/admission/learned_chains.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("a chain is put together from what runs call and what the called daemons tell")
+TEST_CASE("a chain combines the calls of local runs and the chains that other daemons report")
 {
     LearnedChains chains;
     CHECK(chains.chain(history).empty());
@@ -27,7 +27,7 @@
     CHECK(chains.downstreamServices("log").empty());
 }
 
-TEST_CASE("a call of which nothing has been told yet is known by its service")
+TEST_CASE("a call without a reported chain is known by its service")
 {
     LearnedChains chains;
     chains.noteRun(history, {{winch, 1}}, 300ms);
@@ -44,10 +44,10 @@
     CHECK_FALSE(chains.chain(history).contains("roster"));
 }
 
-TEST_CASE("a root is refused for a service that only a learned chain leads to")
+TEST_CASE("a root is refused for the level of a service that only its learned chain contains")
 {
-    // Flight histories are let in, run for a quarter of a second at three services, and fail at the fourth, which is full.
-    // The configuration declares no calls, so the entry looked at the first service alone.
+    // Guards against an entry that only checks the first service, because the configuration declares no calls: flight
+    // histories were admitted, ran for a quarter of a second at three services, and failed at the fourth, which was full.
     SeededRandom random{1};
     WholeChainEntry entry{random};
     manifest::KindSpec kind;
--- a/test/egretlatch/admission/pace_meter.cpp
+++ b/test/egretlatch/admission/pace_meter.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("a pace is told after some runs, follows a server that turns slow, and is not told once nothing runs")
+TEST_CASE("a pace is reported after some runs, follows a server that becomes slow, and expires without runs")
 {
     PaceMeter meter;
     meter.noteCompleted("read", 100ms, start);
@@ -23,7 +23,8 @@
     }
     CHECK(meter.paceAt("read", start) == KindPace{.kind = "read", .own = 100ms, .failing = 0.0});
 
-    // A server that turns slow answers nothing for long, and callers give up: what they gave up counts as well.
+    // A server that becomes slow sends no answers for a long time and callers abandon their requests, so abandoned runs
+    // count as well.
     for (int run = 0; run < 20; ++run) {
         meter.noteAbandoned("read", 900ms, start + 1s);
     }
@@ -32,7 +33,7 @@
     CHECK(meter.paces(start + 10s).empty());
 }
 
-TEST_CASE("a server that fails part of its runs is told of with that part, and no longer once it is well")
+TEST_CASE("the reported failure share follows the failed runs and drops after recovery")
 {
     PaceMeter meter;
     for (int run = 0; run < 100; ++run) {
@@ -47,7 +48,7 @@
     CHECK(meter.paceAt("read", start)->failing < 0.01);
 }
 
-TEST_CASE("a caller that leaves early says nothing of the server")
+TEST_CASE("a run abandoned early does not change the pace")
 {
     PaceMeter meter;
     for (int run = 0; run < 20; ++run) {
--- a/test/egretlatch/admission/root_costs.cpp
+++ b/test/egretlatch/admission/root_costs.cpp
@@ -51,14 +51,14 @@
 
 } // namespace
 
-TEST_CASE("of two roots of one rank the one that takes less of a service goes first there, whatever its single calls take")
+TEST_CASE("of two roots of one rank the one with less total slot time at a service goes first there, regardless of single calls")
 {
-    // Eight short calls of one valuation take more of the service than one booking, and each of them is shorter.
+    // The eight calls of a valuation take more slot time in total than one booking, although each of them is shorter.
     const ObservedEntry entry;
     CHECK(entry.classOfCall(booking, booking.second) > entry.classOfCall(valuation, lookup.second));
 }
 
-TEST_CASE("a root whose costs nobody has seen yet goes behind those of its rank and before lower ones")
+TEST_CASE("a root without observed costs goes after those of its rank and before those of lower priority")
 {
     const ObservedEntry entry;
     const Rank rank{.priority = 7, .worth = 1.0, .invested = {}};
@@ -68,10 +68,11 @@
           > entry.control.classAt("bookings", lookup.second, {.priority = 6, .worth = 1.0, .invested = {}}, RootCosts{SlotTimeByService{{"bookings", 1ms}}}));
 }
 
-TEST_CASE("a mean of what servers tell does not begin with one that does not know yet")
+TEST_CASE("the mean of reported slot times ignores reports of an unknown chain")
 {
-    // A kind looked thirty times cheaper than it was for its first minute: the first daemon that told of it had not yet heard
-    // of the service below. In one data centre nearly all of its requests were refused, in another none.
+    // Guards against a mean that starts at zero: the first daemon to report a kind did not know the downstream service yet,
+    // so the kind seemed thirty times cheaper than it was for its first minute. In one data centre nearly all of its
+    // requests were refused, in another none.
     LearnedChains chains;
     chains.noteChain(valuation, {{"valuations", 500ms}, {"bookings", 0ms}});
     chains.noteChain(valuation, {{"valuations", 500ms}, {"bookings", 400ms}});
@@ -85,10 +86,10 @@
     CHECK(chains.chain(valuation).at("bookings") < 490ms);
 }
 
-TEST_CASE("bookings find room at a service that inner calls of dearer roots would fill")
+TEST_CASE("bookings get slots at a service that inner calls of more expensive roots would fill")
 {
-    // A member on the phone waits for a third of a second and is told that there is no room, while the service runs calls of
-    // roots that earn less for its time. It has four slots; lookups ask for six of them, bookings for one.
+    // Guards against bookings that wait for a third of a second and are then refused, while the service runs calls of roots
+    // with less worth for its slot time. It has four slots; lookups ask for six of them, bookings for one.
     const ObservedEntry entry;
     AdaptiveGate gate{{.areSlotsTrusted = true, .keepsInnerCalls = true, .minDrainTarget = 80ms, .level = {}}};
     gate.setSlots(4);
--- a/test/egretlatch/admission/run_estimator.cpp
+++ b/test/egretlatch/admission/run_estimator.cpp
@@ -13,10 +13,10 @@
 
 } // namespace
 
-TEST_CASE("one long run does not make the next one hopeless")
+TEST_CASE("one long run is not a lower bound for the next run")
 {
-    // A caller with all its time left is refused at once as hopeless. Of its kind there is a request now and then, and the
-    // last one happened to need all its time, or was cut short at the end of it.
+    // Guards against refusing a request of a rare kind with all of its time left, because the last run of that kind needed
+    // all its time or was abandoned at its deadline.
     RunEstimator cut;
     cut.noteAbandoned("kind", 1100ms, start);
     CHECK(cut.shortest("kind", start) < 1100ms);
--- a/test/egretlatch/admission/tickets.hpp
+++ b/test/egretlatch/admission/tickets.hpp
@@ -11,7 +11,7 @@
 inline constexpr egretlatch::SteadyTime start{std::chrono::hours{1}};
 
 /**
- * @brief Makes a root's ticket of one kind, with 10 ms of declared slot time and a second to go.
+ * @brief Creates a root's ticket of one kind, with 10 ms of declared slot time and one second until its deadline.
  * @param number Number of the execution, also of the root.
  * @param priority Priority of the root.
  * @param now Time of arrival.
@@ -37,10 +37,10 @@
 }
 
 /**
- * @brief Makes the ticket of an inner call.
+ * @brief Creates the ticket of an inner call.
  * @param number Number of the execution, also of the root.
  * @param priority Priority of the root.
- * @param invested Slot time that the root has cost so far.
+ * @param invested Slot time that the root has used so far.
  * @return The ticket.
  */
 [[nodiscard]] inline egretlatch::admission::Ticket innerTicket(const std::uint64_t number, const int priority, const egretlatch::Duration invested)
@@ -52,8 +52,8 @@
 }
 
 /**
- * @brief Makes what a run that succeeded shows.
- * @param latency Time that it took.
+ * @brief Creates the observation of a successful run.
+ * @param latency Time that the run took.
  * @return The observation.
  */
 [[nodiscard]] inline egretlatch::admission::Observation success(const egretlatch::Duration latency)
--- a/test/egretlatch/admission/whole_chain_entry.cpp
+++ b/test/egretlatch/admission/whole_chain_entry.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// door -> middle -> deep; a second kind of the door stays there.
+// Call chain door -> middle -> deep; the second kind of door makes no calls.
 std::shared_ptr<const manifest::Manifest> chain()
 {
     const manifest::KindSpec deep{.name = "read", .cost = 10ms, .calls = {}};
@@ -50,10 +50,10 @@
 
 } // namespace
 
-TEST_CASE("a root is refused at the door where the deepest service of its chain would refuse it")
+TEST_CASE("a root is refused at the entry if the last service of its chain would refuse it")
 {
-    // The deepest of three services is full. Refused only there, each root would have held slots of the other two for
-    // nothing. Kinds that do not reach it go on.
+    // Guards against wasted slots: the last of three services is full, and a root refused only there would have held slots
+    // of the other two for nothing. Kinds that do not call it are admitted.
     Entry entry;
     entry.control.noteLevel({.service = "deep", .reported = {.level = aboveAll, .at = start}});
 
@@ -61,7 +61,7 @@
     CHECK(entry.admitted("greet", start) == 1000);
 }
 
-TEST_CASE("two daemons that were told the same level let the same roots pass")
+TEST_CASE("two daemons with the same level admit the same roots")
 {
     Entry first;
     Entry second;
@@ -82,10 +82,10 @@
     CHECK(passed < 600);
 }
 
-TEST_CASE("a level that nobody repeats lets probes through after 100 ms and is forgotten after a second")
+TEST_CASE("a level without new reports admits probes after 100 ms and expires after one second")
 {
-    // Everything is refused at the door, so no answer tells that the deep service has room again. A level that stood
-    // until news came would stand for ever.
+    // Guards against a level that holds forever: while every root is refused at the entry, no answer reports that the last
+    // service has capacity again.
     Entry entry;
     entry.control.noteLevel({.service = "deep", .reported = {.level = aboveAll, .at = start}});
 
@@ -96,10 +96,10 @@
     CHECK(entry.admitted("ask", start + 1s) == 1000);
 }
 
-TEST_CASE("old news that come round by another way do not replace newer ones")
+TEST_CASE("an older level that arrives over another path does not replace a newer one")
 {
-    // Daemons that call one another pass levels on in a circle. Taken by the time of their coming, a level of seconds ago
-    // came back as new, and roots were let in that were shed four services further down.
+    // Daemons that call each other forward levels in a cycle. Ordered by arrival, a level that was seconds old counted as
+    // new, and roots were admitted that were shed four services downstream.
     Entry entry;
     entry.control.noteLevel({.service = "deep", .reported = {.level = aboveAll, .at = start}});
     entry.control.noteLevel({.service = "deep", .reported = {.level = {}, .at = start - 50ms}});
@@ -107,7 +107,7 @@
     CHECK(entry.admitted("ask", start) == 0);
 }
 
-TEST_CASE("an attempt that never left tells nothing of the service")
+TEST_CASE("an attempt that was never sent does not change the level")
 {
     Entry entry;
     const LoadReport full{.inFlight = 4, .limit = 4, .queued = 9, .level = aboveAll, .queueDelay = {}, .draining = false};
@@ -117,7 +117,7 @@
     CHECK(entry.admitted("greet", start) == 0);
 }
 
-TEST_CASE("a refusal at the entry says which service, by which figures and when to come back")
+TEST_CASE("a refusal at the entry names the service, the figures and the retry delay")
 {
     Entry entry;
     entry.control.noteLevel({.service = "deep", .reported = {.level = aboveAll, .at = start}});
@@ -132,10 +132,10 @@
     CHECK(refusal->retryAfter > 0ms);
 }
 
-TEST_CASE("a root's class at a service goes by the slot time that it needs there")
+TEST_CASE("a root's class at a service depends on its slot time there")
 {
-    // Launch entries need little of duty-roster and much of launch-log. Judged by their worst service they lost to roster
-    // reads, which earn less for each slot of duty-roster, and none was completed.
+    // Launch entries need little slot time at duty-roster and much at launch-log. Ranked by the lowest class along their
+    // chain they lost to roster reads, which have less worth per slot time of duty-roster, and none was completed.
     Entry entry;
     const Rank rank{.priority = 9, .worth = 10.0, .invested = {}};
 
