--- a/src/egretlatch/admission/crash_suspects.cpp
+++ b/src/egretlatch/admission/crash_suspects.cpp
@@ -12,12 +12,12 @@
 namespace internal
 {
 
-// The bound of the users' rules: a request may reach servers until it has crashed the third.
+// Required limit: a request may reach servers until it has crashed the third one.
 constexpr int crashesToQuarantine = 3;
-// At 30 requests lost with a crash this holds those of 136 crashes.
-constexpr std::size_t mostSuspects = 4096;
-// Of a rumour's 512 bytes.
-constexpr std::size_t mostInMessage = 64;
+// Holds the requests of 136 crashes, at 30 lost requests for each crash.
+constexpr std::size_t maxSuspects = 4096;
+// 64 fingerprints of 8 bytes fill the 512 bytes of a rumour.
+constexpr std::size_t maxPerMessage = 64;
 
 } // namespace internal
 
@@ -29,12 +29,12 @@
 
 void CrashSuspects::noteCrash(const std::string &crash, const std::vector<RequestFingerprint> &running, const SteadyTime now)
 {
-    forgetOld(now);
+    eraseExpired(now);
     for (const RequestFingerprint request : running) {
-        if (m_goodElsewhere.contains(request)) {
+        if (m_remoteSuccesses.contains(request)) {
             continue;
         }
-        if (m_suspects.size() >= internal::mostSuspects && !m_suspects.contains(request)) {
+        if (m_suspects.size() >= internal::maxSuspects && !m_suspects.contains(request)) {
             return;
         }
         Suspect &suspect = m_suspects[request];
@@ -51,9 +51,9 @@
 void CrashSuspects::noteRemoteSuccess(const RequestFingerprint request, const SteadyTime now)
 {
     static_cast<void>(noteSuccess(request));
-    forgetOld(now);
-    if (m_goodElsewhere.size() < internal::mostSuspects) {
-        m_goodElsewhere.insert_or_assign(request, now);
+    eraseExpired(now);
+    if (m_remoteSuccesses.size() < internal::maxSuspects) {
+        m_remoteSuccesses.insert_or_assign(request, now);
     }
 }
 
@@ -69,19 +69,19 @@
     return crashes(request, now) >= internal::crashesToQuarantine;
 }
 
-void CrashSuspects::forgetOld(const SteadyTime now)
+void CrashSuspects::eraseExpired(const SteadyTime now)
 {
     std::erase_if(m_suspects, [now](const auto &item) {
         return now - item.second.last >= crashLifetime;
     });
-    std::erase_if(m_goodElsewhere, [now](const auto &item) {
+    std::erase_if(m_remoteSuccesses, [now](const auto &item) {
         return now - item.second >= successLifetime;
     });
 }
 
 std::string toBytes(const std::vector<RequestFingerprint> &requests)
 {
-    const std::size_t count = std::min(requests.size(), internal::mostInMessage);
+    const std::size_t count = std::min(requests.size(), internal::maxPerMessage);
     std::string bytes(count * sizeof(RequestFingerprint), '\0');
     if (count > 0) {
         std::memcpy(bytes.data(), requests.data(), bytes.size());
@@ -92,7 +92,7 @@
 std::vector<RequestFingerprint> fingerprintsFrom(const std::string_view bytes)
 {
     std::vector<RequestFingerprint> requests(bytes.size() / sizeof(RequestFingerprint));
-    // Of nothing there may be no address to copy from.
+    // The data pointer of an empty view may be null, which memcpy() does not allow.
     if (!requests.empty()) {
         std::memcpy(requests.data(), bytes.data(), requests.size() * sizeof(RequestFingerprint));
     }
--- a/src/egretlatch/admission/fwd.hpp
+++ b/src/egretlatch/admission/fwd.hpp
@@ -20,7 +20,7 @@
 struct EntryRefusal;
 struct ServerLoadReport;
 struct ServiceLevelReport;
-struct Waiting;
+struct QueuedRequest;
 struct QueueState;
 struct LimitSample;
 
--- a/src/egretlatch/admission/level_reports.cpp
+++ b/src/egretlatch/admission/level_reports.cpp
@@ -9,7 +9,7 @@
 namespace internal
 {
 
-constexpr std::chrono::milliseconds longestAge{1000};
+constexpr std::chrono::milliseconds maxAge{1000};
 constexpr std::chrono::milliseconds freshAge{100};
 constexpr std::chrono::milliseconds comparableAge{100};
 constexpr std::chrono::milliseconds aggregateInterval{5};
@@ -18,7 +18,7 @@
 
 void LevelReports::note(const DaemonId &daemon, const ReportedLevel &level)
 {
-    m_notes[daemon] = level;
+    m_reports[daemon] = level;
 }
 
 ReportedLevel LevelReports::aggregate(const SteadyTime now)
@@ -27,19 +27,19 @@
         return m_aggregate;
     }
     m_aggregatedAt = now;
-    std::erase_if(m_notes, [now](const auto &entry) {
-        return now - entry.second.at >= internal::longestAge;
+    std::erase_if(m_reports, [now](const auto &entry) {
+        return now - entry.second.at >= internal::maxAge;
     });
     m_aggregate = {};
-    if (m_notes.empty()) {
+    if (m_reports.empty()) {
         return m_aggregate;
     }
-    for (const auto &[daemon, reported] : m_notes) {
+    for (const auto &[daemon, reported] : m_reports) {
         m_aggregate.at = std::max(m_aggregate.at, reported.at);
     }
     std::vector<Level> levels;
-    for (const auto &[daemon, reported] : m_notes) {
-        // A server that told nothing while its peers did says nothing of now.
+    for (const auto &[daemon, reported] : m_reports) {
+        // The level of a server that did not report while its peers did is out of date.
         if (m_aggregate.at - reported.at < internal::comparableAge) {
             levels.push_back(reported.level);
         }
@@ -58,7 +58,7 @@
     if (age <= internal::freshAge) {
         return 0.0;
     }
-    const Duration span = internal::longestAge - internal::freshAge;
+    const Duration span = internal::maxAge - internal::freshAge;
     const double share = std::min(1.0, std::chrono::duration<double>(age - internal::freshAge) / std::chrono::duration<double>(span));
     return share * share;
 }
