--- a/src/egretlatch/decision/serving_handler.cpp
+++ b/src/egretlatch/decision/serving_handler.cpp
@@ -24,7 +24,7 @@
     return std::get<RunFailure>(result) == RunFailure::rejected ? admission::RunOutcome::rejected : admission::RunOutcome::lost;
 }
 
-[[nodiscard]] static protocol::CallAnswer answerOf(const std::variant<RunAnswer, RunFailure> &result, Surroundings &surroundings)
+[[nodiscard]] static protocol::CallAnswer answerOf(const std::variant<RunAnswer, RunFailure> &result, CoreContext &surroundings)
 {
     protocol::CallAnswer answer;
     if (const auto *const given = std::get_if<RunAnswer>(&result)) {
@@ -56,7 +56,7 @@
 
 } // namespace internal
 
-ServingHandler::ServingHandler(Surroundings &surroundings, std::unique_ptr<admission::Gate> gate)
+ServingHandler::ServingHandler(CoreContext &surroundings, std::unique_ptr<admission::Gate> gate)
     : m_surroundings{surroundings}
     , m_gate{std::move(gate)}
 {
@@ -308,7 +308,7 @@
 void ServingHandler::refuseStranger(const Origin &origin, const SteadyTime now)
 {
     protocol::CallAnswer refused;
-    const bool isUnheard = m_surroundings.delivery == Delivery::oneLife;
+    const bool isUnheard = m_surroundings.delivery == Delivery::oneIncarnation;
     refused.verdict = retry::verdictOf(isUnheard ? retry::AttemptEnd::missedEarlierLife : retry::AttemptEnd::meantForEarlierLife);
     refused.refusal = m_surroundings.refuse(account::RefusalReason::serverLost, "the request was meant for an earlier life of this daemon");
     refused.status = account::httpStatus(refused.refusal->reason);
