--- a/src/egretlatch/decision/configuration_outlet.cpp
+++ b/src/egretlatch/decision/configuration_outlet.cpp
@@ -3,30 +3,30 @@
 namespace egretlatch::decision
 {
 
-ConfigurationOutlet::ConfigurationOutlet(Surroundings &surroundings, std::vector<configuration::Peer> contacts)
-    : m_surroundings{surroundings}
+ConfigurationOutlet::ConfigurationOutlet(CoreContext &context, std::vector<configuration::Peer> contacts)
+    : m_context{context}
     , m_contacts{std::move(contacts)}
 {
 }
 
 store::RequestId ConfigurationOutlet::ask(store::Request request)
 {
-    return m_surroundings.askPlatform(std::move(request));
+    return m_context.askPlatform(std::move(request));
 }
 
 void ConfigurationOutlet::send(const configuration::Peer &peer, configuration::PeerNews news)
 {
-    const auto toMessage = [](auto &given) {
-        return protocol::Message{std::move(given)};
+    const auto toMessage = [](auto &payload) {
+        return protocol::Message{std::move(payload)};
     };
-    m_surroundings.actions.emplace_back(SendToPeer{.to = peer.id, .endpoint = peer.endpoint, .message = std::visit(toMessage, news)});
+    m_context.actions.emplace_back(SendToPeer{.to = peer.id, .endpoint = peer.endpoint, .message = std::visit(toMessage, news)});
 }
 
 std::vector<configuration::Peer> ConfigurationOutlet::peers() const
 {
     std::vector<configuration::Peer> peers;
-    for (const DaemonId &id : m_surroundings.roster.participants()) {
-        const membership::Member *const member = m_surroundings.roster.find(id);
+    for (const DaemonId &id : m_context.roster.participants()) {
+        const membership::Member *const member = m_context.roster.find(id);
         if (member != nullptr && !member->endpoint.empty()) {
             peers.push_back({.id = id, .endpoint = member->endpoint});
         }
@@ -34,14 +34,14 @@
     return peers.empty() ? m_contacts : peers;
 }
 
-void ConfigurationOutlet::putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &bringer)
+void ConfigurationOutlet::putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &sourceDaemon)
 {
-    m_surroundings.putInForce(version, manifest, bringer);
+    m_context.putInForce(version, manifest, sourceDaemon);
 }
 
 void ConfigurationOutlet::count(const std::string_view what)
 {
-    m_surroundings.metrics.count("configuration", what);
+    m_context.metrics.count("configuration", what);
 }
 
 } // namespace egretlatch::decision
--- a/src/egretlatch/decision/core.cpp
+++ b/src/egretlatch/decision/core.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include <egretlatch/decision/departure_news.hpp>
+#include <egretlatch/decision/departure_rumour.hpp>
 
 namespace egretlatch::decision
 {
@@ -16,7 +16,7 @@
 constexpr std::chrono::milliseconds runTickInterval{50};
 constexpr std::chrono::milliseconds idleTickInterval{100};
 constexpr std::chrono::milliseconds fleetTickInterval{30};
-constexpr std::chrono::milliseconds leaveSpreadTime{500};
+constexpr std::chrono::milliseconds departureSpreadTime{500};
 template<typename... Handlers>
 struct Overloaded : Handlers...
 {
@@ -30,12 +30,12 @@
 
 Actions Core::handle(const Event &event)
 {
-    const SteadyTime now = m_surroundings->clock.steadyNow();
-    m_surroundings->actions.clear();
+    const SteadyTime now = m_context->clock.steadyNow();
+    m_context->actions.clear();
     // A process that stood still reads what came meanwhile before its timers.
-    tickDoor(now);
+    tickDrain(now);
     dispatch(event, now);
-    if (m_declared != m_surroundings->manifest) {
+    if (m_declared != m_context->manifest) {
         declareService();
     }
     return deliverToSelf(now);
@@ -44,18 +44,18 @@
 SteadyTime Core::nextTick() const
 {
     const Duration busyInterval = m_serving->hasWaiting() ? internal::queueTickInterval : internal::runTickInterval;
-    const SteadyTime latest = m_surroundings->clock.steadyNow() + (isIdle() ? internal::idleTickInterval : busyInterval);
+    const SteadyTime latest = m_context->clock.steadyNow() + (isIdle() ? internal::idleTickInterval : busyInterval);
     return std::min(latest, m_entry->nextDeadline().value_or(latest));
 }
 
 admission::LoadReport Core::load() const
 {
-    return m_serving->load(m_surroundings->clock.steadyNow());
+    return m_serving->load(m_context->clock.steadyNow());
 }
 
 std::vector<account::Figure> Core::levelFigures() const
 {
-    return m_serving->levelFigures(m_surroundings->clock.steadyNow());
+    return m_serving->levelFigures(m_context->clock.steadyNow());
 }
 
 std::map<std::string, double> Core::retriesLeft() const
@@ -65,11 +65,11 @@
 
 configuration::Report Core::configurationReport() const
 {
-    const SteadyTime now = m_surroundings->clock.steadyNow();
+    const SteadyTime now = m_context->clock.steadyNow();
     configuration::Report report;
-    report.daemon = m_surroundings->self;
-    report.version = m_surroundings->manifestVersion;
-    report.hash = m_surroundings->manifest == nullptr ? std::string{} : m_surroundings->manifest->hash();
+    report.daemon = m_context->self;
+    report.version = m_context->manifestVersion;
+    report.hash = m_context->manifest == nullptr ? std::string{} : m_context->manifest->hash();
     report.newestKnown = std::max(report.version, m_configuration->newestKnown());
     for (const auto &[daemon, entry] : m_configuration->fleet()) {
         const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry.heard);
@@ -101,7 +101,7 @@
                    },
                    [&](const RunEnded &ended) {
                        m_serving->handleRunEnded(ended, now);
-                       tellCrashes(now);
+                       spreadCrashReports(now);
                    },
                    [&](const ServerAnnounced &announced) {
                        handleAnnounced(announced, now);
@@ -169,26 +169,26 @@
 
 void Core::handleRumour(const membership::Rumour &rumour, const SteadyTime now)
 {
-    m_surroundings->metrics.count("rumours", membership::toString(rumour.key.kind));
+    m_context->metrics.count("rumours", membership::toString(rumour.key.kind));
     if (rumour.key.kind == membership::RumourKind::quarantine) {
-        CrashNews{.rumour = rumour}.apply(m_surroundings->suspects, now);
+        CrashReport{.rumour = rumour}.apply(m_context->suspects, now);
     }
-    if (const std::optional<std::string> instance = departedBeside(rumour, m_surroundings->self)) {
-        handleDepartureNews(*instance, now);
+    if (const std::optional<std::string> instance = departedInstance(rumour, m_context->self)) {
+        handleDepartureRumour(*instance, now);
     }
 }
 
-void Core::tellCrashes(const SteadyTime now)
+void Core::spreadCrashReports(const SteadyTime now)
 {
-    for (const CrashNews &news : m_serving->takeCrashNews()) {
-        news.apply(m_surroundings->suspects, now);
-        m_gossip->spread(news.rumour, now);
+    for (const CrashReport &report : m_serving->takeCrashReports()) {
+        report.apply(m_context->suspects, now);
+        m_gossip->spread(report.rumour, now);
     }
 }
 
 void Core::handleManifest(const ManifestChanged &changed)
 {
-    m_surroundings->putInForce(changed.version, changed.manifest);
+    m_context->putInForce(changed.version, changed.manifest);
 }
 
 void Core::handlePlatform(const PlatformAnswered &answered, const SteadyTime now)
@@ -199,15 +199,15 @@
         return;
     }
     if (!m_configuration->handleOutcome(answered.id, answered.outcome, now) && !m_entry->handlePlatform(answered, now)) {
-        m_surroundings->metrics.count("messages_dropped", "late-platform-answer");
+        m_context->metrics.count("messages_dropped", "late-platform-answer");
     }
 }
 
 void Core::declareService()
 {
-    m_declared = m_surroundings->manifest;
-    const manifest::Manifest *const manifest = m_surroundings->manifest.get();
-    const manifest::ServiceSpec *const service = manifest == nullptr ? nullptr : manifest->findService(m_surroundings->roster.self().service);
+    m_declared = m_context->manifest;
+    const manifest::Manifest *const manifest = m_context->manifest.get();
+    const manifest::ServiceSpec *const service = manifest == nullptr ? nullptr : manifest->findService(m_context->roster.self().service);
     if (service != nullptr) {
         m_serving->setService(*service);
     }
@@ -231,7 +231,7 @@
     m_gossip->setPaces(m_serving->paces(now));
     m_gossip->tick(now);
     tickContacts(now);
-    tickLeaving(now);
+    tickShutdown(now);
     applyGossip(now);
 }
 
@@ -240,68 +240,68 @@
     if (m_contactBook == nullptr || m_contactRequest.has_value()) {
         return;
     }
-    if (std::optional<store::Request> request = m_contactBook->tick(m_surroundings->roster.participants().size(), now)) {
-        m_contactRequest = m_surroundings->askPlatform(std::move(*request));
+    if (std::optional<store::Request> request = m_contactBook->tick(m_context->roster.participants().size(), now)) {
+        m_contactRequest = m_context->askPlatform(std::move(*request));
     }
 }
 
-void Core::tickLeaving(const SteadyTime now)
+void Core::tickShutdown(const SteadyTime now)
 {
     if (!m_isShuttingDown || m_hasReportedDrained || !m_serving->isIdle() || !m_entry->isIdle()) {
-        m_leftAt.reset();
+        m_goneAnnouncedAt.reset();
         return;
     }
-    if (!m_leftAt.has_value()) {
-        m_leftAt = now;
+    if (!m_goneAnnouncedAt.has_value()) {
+        m_goneAnnouncedAt = now;
         updateSelf(membership::MemberState::gone, {}, 0, 0, now);
     }
     // The process ends at once when it is told to, and what has not left it by then is lost with it. Others would then
     // take a daemon that left for one that died, so its word gets time to leave.
-    if (now - *m_leftAt >= internal::leaveSpreadTime) {
+    if (now - *m_goneAnnouncedAt >= internal::departureSpreadTime) {
         m_hasReportedDrained = true;
-        m_surroundings->actions.emplace_back(Drained{});
+        m_context->actions.emplace_back(Drained{});
     }
 }
 
 void Core::updateSelf(const membership::MemberState state, const std::string &service, const int slots, const int connections, const SteadyTime now)
 {
-    m_surroundings->roster.updateSelf(state, service, slots, connections);
-    m_surroundings->router->setMembers(m_surroundings->roster.members(), now);
+    m_context->roster.updateSelf(state, service, slots, connections);
+    m_context->router->setMembers(m_context->roster.members(), now);
     m_gossip->announceSelf(now);
     applyGossip(now);
 }
 
 void Core::applyGossip(const SteadyTime now)
 {
-    followRaise();
+    adoptRaisedIncarnation();
     membership::GossipEffects effects = m_gossip->takeEffects();
     if (effects.haveMembersChanged) {
-        m_surroundings->router->setMembers(m_surroundings->roster.members(), now);
+        m_context->router->setMembers(m_context->roster.members(), now);
     }
-    for (const DaemonId &id : m_surroundings->roster.takeChanged()) {
-        if (const membership::Member *const member = m_surroundings->roster.find(id)) {
-            m_surroundings->actions.emplace_back(MemberChanged{.id = id, .state = member->state});
+    for (const DaemonId &id : m_context->roster.takeChanged()) {
+        if (const membership::Member *const member = m_context->roster.find(id)) {
+            m_context->actions.emplace_back(MemberChanged{.id = id, .state = member->state});
         }
     }
     for (membership::OutgoingGossip &outgoing : effects.messages) {
-        m_surroundings->actions.emplace_back(SendToPeer{.to = outgoing.to.id, .endpoint = outgoing.to.endpoint, .message = std::move(outgoing.message)});
+        m_context->actions.emplace_back(SendToPeer{.to = outgoing.to.id, .endpoint = outgoing.to.endpoint, .message = std::move(outgoing.message)});
     }
     for (const auto &[daemon, paces] : effects.paces) {
-        m_surroundings->router->notePaces(daemon, paces, now);
+        m_context->router->notePaces(daemon, paces, now);
     }
     for (const membership::Rumour &rumour : effects.rumours) {
         handleRumour(rumour, now);
     }
 }
 
-void Core::followRaise()
+void Core::adoptRaisedIncarnation()
 {
-    const Incarnation raised = m_surroundings->roster.self().incarnation;
-    if (raised == m_surroundings->incarnation) {
+    const Incarnation raised = m_context->roster.self().incarnation;
+    if (raised == m_context->incarnation) {
         return;
     }
-    m_surroundings->actions.emplace_back(LifeRaised{.from = m_surroundings->incarnation, .to = raised});
-    m_surroundings->incarnation = raised;
+    m_context->actions.emplace_back(IncarnationRaised{.from = m_context->incarnation, .to = raised});
+    m_context->incarnation = raised;
 }
 
 bool Core::isIdle() const noexcept
@@ -312,19 +312,19 @@
 Actions Core::deliverToSelf(const SteadyTime now)
 {
     Actions outward;
-    while (!m_surroundings->actions.empty()) {
+    while (!m_context->actions.empty()) {
         Actions batch;
-        batch.swap(m_surroundings->actions);
+        batch.swap(m_context->actions);
         for (Action &action : batch) {
             if (const auto *const abort = std::get_if<AbortRun>(&action)) {
                 m_entry->cancelInnerCalls(abort->execution, now);
             }
             auto *const send = std::get_if<SendToPeer>(&action);
-            if (send == nullptr || send->to != m_surroundings->self) {
+            if (send == nullptr || send->to != m_context->self) {
                 outward.push_back(std::move(action));
                 continue;
             }
-            handleMessage({.sender = m_surroundings->self, .incarnation = m_surroundings->incarnation, .message = std::move(send->message)}, now);
+            handleMessage({.sender = m_context->self, .incarnation = m_context->incarnation, .message = std::move(send->message)}, now);
         }
     }
     return outward;
--- a/src/egretlatch/decision/core.hpp
+++ b/src/egretlatch/decision/core.hpp
@@ -8,11 +8,11 @@
 #include <egretlatch/configuration/report.hpp>
 #include <egretlatch/decision/action.hpp>
 #include <egretlatch/decision/configuration_outlet.hpp>
-#include <egretlatch/decision/door_times.hpp>
+#include <egretlatch/decision/core_context.hpp>
+#include <egretlatch/decision/drain_times.hpp>
 #include <egretlatch/decision/entry_handler.hpp>
 #include <egretlatch/decision/event.hpp>
 #include <egretlatch/decision/serving_handler.hpp>
-#include <egretlatch/decision/surroundings.hpp>
 #include <egretlatch/membership/contact_book.hpp>
 #include <egretlatch/membership/departures.hpp>
 #include <egretlatch/membership/gossip.hpp>
@@ -54,18 +54,18 @@
      */
     [[nodiscard]] const membership::Roster &roster() const noexcept
     {
-        return m_surroundings->roster;
+        return m_context->roster;
     }
 
     [[nodiscard]] std::uint64_t manifestVersion() const noexcept
     {
-        return m_surroundings->manifestVersion;
+        return m_context->manifestVersion;
     }
 
     /*! @brief The configuration in force; null for none. */
     [[nodiscard]] std::shared_ptr<const manifest::Manifest> manifest() const
     {
-        return m_surroundings->manifest;
+        return m_context->manifest;
     }
 
     /**
@@ -97,10 +97,10 @@
     void handleMessage(const protocol::Envelope &envelope, SteadyTime now);
     void handleAnnounced(const ServerAnnounced &announced, SteadyTime now);
     void handleDraining(const ServerDraining &draining, SteadyTime now);
-    [[nodiscard]] bool takeDeparture(const std::string &instance, SteadyTime now);
-    void handleDepartureNews(const std::string &instance, SteadyTime now);
-    [[nodiscard]] bool isServerNameless() const;
-    void sayDraining(SteadyTime now);
+    [[nodiscard]] bool recordDeparture(const std::string &instance, SteadyTime now);
+    void handleDepartureRumour(const std::string &instance, SteadyTime now);
+    [[nodiscard]] bool isServerUnnamed() const;
+    void publishDraining(SteadyTime now);
     void handleLeft(SteadyTime now);
     void handlePlatform(const PlatformAnswered &answered, SteadyTime now);
     void handleManifest(const ManifestChanged &changed);
@@ -108,20 +108,20 @@
     void handleTick(SteadyTime now);
     void handlePeerLost(const PeerLost &lost, SteadyTime now);
     void handleRumour(const membership::Rumour &rumour, SteadyTime now);
-    void tellCrashes(SteadyTime now);
+    void spreadCrashReports(SteadyTime now);
     void tickFleet(SteadyTime now);
     void tickContacts(SteadyTime now);
     void tickServer(SteadyTime now);
-    void tickLeaving(SteadyTime now);
-    void tickDoor(SteadyTime now);
-    void boundLastStart(SteadyTime now);
+    void tickShutdown(SteadyTime now);
+    void tickDrain(SteadyTime now);
+    void limitLastStart(SteadyTime now);
     void updateSelf(membership::MemberState state, const std::string &service, int slots, int connections, SteadyTime now);
     void applyGossip(SteadyTime now);
-    void followRaise();
+    void adoptRaisedIncarnation();
     [[nodiscard]] bool isIdle() const noexcept;
     [[nodiscard]] Actions deliverToSelf(SteadyTime now);
 
-    std::unique_ptr<Surroundings> m_surroundings;
+    std::unique_ptr<CoreContext> m_context;
     std::unique_ptr<ServingHandler> m_serving;
     std::unique_ptr<EntryHandler> m_entry;
     std::unique_ptr<ConfigurationOutlet> m_configurationOutlet;
@@ -140,13 +140,13 @@
     bool m_isDraining{};
     /*! @brief Whether the daemon was told to end. */
     bool m_isSignalled{};
-    DoorTimes m_doorTimes;
+    DrainTimes m_drainTimes;
     /*! @brief When a backend server that leaves gets no more requests; nothing while it does not leave, or once it gets none. */
-    std::optional<SteadyTime> m_doorClosesAt;
+    std::optional<SteadyTime> m_stopAcceptingAt;
     /*! @brief When what still waits for a slot of such a server is refused. */
     std::optional<SteadyTime> m_lastStartAt;
     bool m_isShuttingDown{};
-    std::optional<SteadyTime> m_leftAt;
+    std::optional<SteadyTime> m_goneAnnouncedAt;
     bool m_hasReportedDrained{};
     /*! @brief Configuration that the gate's service was last declared from; null for none. */
     std::shared_ptr<const manifest::Manifest> m_declared;
@@ -223,7 +223,7 @@
      * @param times The times; by default none at all.
      * @return This builder.
      */
-    CoreBuilder &setDoorTimes(const DoorTimes &times);
+    CoreBuilder &setDrainTimes(const DrainTimes &times);
 
     /**
      * @brief Sets what is done with keys that name no owner.
@@ -240,7 +240,7 @@
     CoreBuilder &setDelivery(Delivery delivery);
 
     /**
-     * @brief Lets the daemon go on under a higher incarnation, told by LifeRaised, where its earlier life had one that overrules it.
+     * @brief Lets the daemon go on under a higher incarnation, told by IncarnationRaised, where its earlier life had one that overrules it.
      * @return This builder.
      */
     CoreBuilder &allowRaise();
@@ -277,9 +277,9 @@
     bool m_followsPlatform{};
     bool m_isFed{};
     EntryRules m_entryRules;
-    DoorTimes m_doorTimes;
+    DrainTimes m_drainTimes;
     retry::UnownedKeys m_unownedKeys{retry::UnownedKeys::refuse};
-    Delivery m_delivery{Delivery::severalLives};
+    Delivery m_delivery{Delivery::severalIncarnations};
     bool m_mayRaise{};
     retry::KeyLedgerLimits m_ledgerLimits;
     std::optional<retry::GrantTimes> m_grantTimes;
--- a/src/egretlatch/decision/core_builder.cpp
+++ b/src/egretlatch/decision/core_builder.cpp
@@ -77,9 +77,9 @@
     return *this;
 }
 
-CoreBuilder &CoreBuilder::setDoorTimes(const DoorTimes &times)
+CoreBuilder &CoreBuilder::setDrainTimes(const DrainTimes &times)
 {
-    m_doorTimes = times;
+    m_drainTimes = times;
     return *this;
 }
 
@@ -125,7 +125,7 @@
         m_gate = std::make_unique<admission::StaticGate>(1, internal::defaultQueueCapacity);
     }
     std::unique_ptr<Core> core{new Core};
-    core->m_surroundings.reset(new Surroundings{
+    core->m_context.reset(new CoreContext{
         .clock = m_clock,
         .random = m_random,
         .metrics = m_metrics,
@@ -140,26 +140,26 @@
         .manifestVersion = 0,
         .unownedKeys = m_unownedKeys,
         .delivery = m_delivery,
-        .born = m_clock.steadyNow(),
+        .startedAt = m_clock.steadyNow(),
         .actions = {},
         .lastPlatformRequest = {},
     });
     if (m_mayRaise) {
-        core->m_surroundings->roster.allowRaise();
+        core->m_context->roster.allowRaise();
     }
-    core->m_serving = std::make_unique<ServingHandler>(*core->m_surroundings, std::move(m_gate));
+    core->m_serving = std::make_unique<ServingHandler>(*core->m_context, std::move(m_gate));
     std::unique_ptr<retry::ShardGrants> grants;
     if (m_grantTimes.has_value()) {
         grants = std::make_unique<retry::ShardGrants>(retry::KeyOwner{.daemon = m_self.id, .incarnation = m_self.incarnation}, m_random, *m_grantTimes);
     }
-    core->m_entry = std::make_unique<EntryHandler>(*core->m_surroundings, *core->m_serving, m_ledgerLimits, std::move(grants));
+    core->m_entry = std::make_unique<EntryHandler>(*core->m_context, *core->m_serving, m_ledgerLimits, std::move(grants));
     core->m_entry->setRules(m_entryRules);
-    core->m_doorTimes = m_doorTimes;
+    core->m_drainTimes = m_drainTimes;
     std::vector<configuration::Peer> peers;
     for (const membership::Contact &contact : m_contacts) {
         peers.push_back({.id = contact.id, .endpoint = contact.endpoint});
     }
-    core->m_configurationOutlet = std::make_unique<ConfigurationOutlet>(*core->m_surroundings, std::move(peers));
+    core->m_configurationOutlet = std::make_unique<ConfigurationOutlet>(*core->m_context, std::move(peers));
     configuration::FollowerOptions options;
     options.hasPlatform = m_followsPlatform;
     options.isFed = m_isFed;
@@ -175,7 +175,7 @@
         core->m_contactBook =
             std::make_unique<membership::ContactBook>(membership::Contact{.id = m_self.id, .endpoint = m_self.endpoint}, *core->m_gossipRandom);
     }
-    core->m_gossip = std::make_unique<membership::Gossip>(core->m_surroundings->roster, *core->m_gossipRandom, m_metrics, std::move(m_contacts));
+    core->m_gossip = std::make_unique<membership::Gossip>(core->m_context->roster, *core->m_gossipRandom, m_metrics, std::move(m_contacts));
     return core;
 }
 
--- a/src/egretlatch/decision/core_server.cpp
+++ b/src/egretlatch/decision/core_server.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include <egretlatch/decision/departure_news.hpp>
+#include <egretlatch/decision/departure_rumour.hpp>
 
 namespace egretlatch::decision
 {
@@ -17,26 +17,26 @@
 void Core::handleAnnounced(const ServerAnnounced &announced, const SteadyTime now)
 {
     m_lastAnnounced = now;
-    m_surroundings->metrics.count("announcements", announced.service);
+    m_context->metrics.count("announcements", announced.service);
     // A server goes on announcing itself while it drains, which must not put it back to work; nor must it once it has
     // been silent for a while and wakes. Another process in its place is a server of its own, known by its instance name,
     // or, without a name, by the silence before it.
-    const bool isDrained = announced.instance.empty() ? m_isDraining && isServerNameless() : hasLeft(announced.instance);
+    const bool isDrained = announced.instance.empty() ? m_isDraining && isServerUnnamed() : hasLeft(announced.instance);
     if (m_isSignalled || isDrained || m_server == announced) {
         return;
     }
     m_server = announced;
     m_isDraining = false;
-    m_doorClosesAt.reset();
+    m_stopAcceptingAt.reset();
     m_lastStartAt.reset();
     m_serving->setServer(announced.slots);
     m_serving->noteServerReplaced(now);
-    tellCrashes(now);
+    spreadCrashReports(now);
     updateSelf(membership::MemberState::serving, announced.service, announced.slots, announced.connections, now);
     declareService();
 }
 
-bool Core::isServerNameless() const
+bool Core::isServerUnnamed() const
 {
     return !m_server.has_value() || m_server->instance.empty();
 }
@@ -47,21 +47,21 @@
         m_isShuttingDown = true;
         m_entry->drain();
         // What came by the door later than callers are served would outlast the process.
-        if (m_doorClosesAt.has_value()) {
-            m_doorClosesAt = now;
-            tickDoor(now);
+        if (m_stopAcceptingAt.has_value()) {
+            m_stopAcceptingAt = now;
+            tickDrain(now);
         }
     }
-    const bool isOfDaemon = draining.isShutdown || draining.isSignal;
-    m_isSignalled = m_isSignalled || isOfDaemon;
-    if (!isOfDaemon && !takeDeparture(draining.instance, now)) {
+    const bool isDaemonShutdown = draining.isShutdown || draining.isSignal;
+    m_isSignalled = m_isSignalled || isDaemonShutdown;
+    if (!isDaemonShutdown && !recordDeparture(draining.instance, now)) {
         return;
     }
     if (m_isDraining) {
         // The server's own word, after the signal, may leave it less time.
-        if (m_doorClosesAt.has_value() && !isOfDaemon) {
-            m_doorClosesAt = std::min(*m_doorClosesAt, now + m_doorTimes.afterReport);
-            boundLastStart(now);
+        if (m_stopAcceptingAt.has_value() && !isDaemonShutdown) {
+            m_stopAcceptingAt = std::min(*m_stopAcceptingAt, now + m_drainTimes.afterReport);
+            limitLastStart(now);
         }
         return;
     }
@@ -69,47 +69,47 @@
     if (!m_server.has_value()) {
         m_lastAnnounced = now;
     }
-    m_doorClosesAt = now + (isOfDaemon ? m_doorTimes.afterSignal : m_doorTimes.afterReport);
-    if (!isOfDaemon) {
-        boundLastStart(now);
+    m_stopAcceptingAt = now + (isDaemonShutdown ? m_drainTimes.afterSignal : m_drainTimes.afterReport);
+    if (!isDaemonShutdown) {
+        limitLastStart(now);
     }
-    tickDoor(now);
-    sayDraining(now);
+    tickDrain(now);
+    publishDraining(now);
 }
 
-bool Core::takeDeparture(const std::string &instance, const SteadyTime now)
+bool Core::recordDeparture(const std::string &instance, const SteadyTime now)
 {
-    const bool isHere = instance.empty() || (m_server.has_value() && m_server->instance == instance);
+    const bool isCurrentServer = instance.empty() || (m_server.has_value() && m_server->instance == instance);
     const std::string &name = instance.empty() && m_server.has_value() ? m_server->instance : instance;
     if (!name.empty() && m_departures.note(name)) {
         // At once, and before the server gets its acknowledgement: it binds also a life of this daemon that begins right after.
-        m_gossip->spread(departureNews(m_surroundings->self, name), now);
+        m_gossip->spread(makeDepartureRumour(m_context->self, name), now);
         m_gossip->announceSelf(now);
         applyGossip(now);
     }
-    return isHere;
+    return isCurrentServer;
 }
 
-void Core::handleDepartureNews(const std::string &instance, const SteadyTime now)
+void Core::handleDepartureRumour(const std::string &instance, const SteadyTime now)
 {
     if (!m_departures.note(instance)) {
         return;
     }
-    m_surroundings->actions.emplace_back(DepartureHeard{.instance = instance});
+    m_context->actions.emplace_back(DepartureReported{.instance = instance});
     if (!m_server.has_value() || m_server->instance != instance) {
         return;
     }
     // An earlier life of this daemon acknowledged it, nobody knows here how long ago.
     m_isDraining = true;
-    m_doorClosesAt = now;
+    m_stopAcceptingAt = now;
     m_lastStartAt = now;
-    tickDoor(now);
-    sayDraining(now);
+    tickDrain(now);
+    publishDraining(now);
 }
 
-void Core::sayDraining(const SteadyTime now)
+void Core::publishDraining(const SteadyTime now)
 {
-    const membership::Member &self = m_surroundings->roster.self();
+    const membership::Member &self = m_context->roster.self();
     updateSelf(membership::MemberState::draining, self.service, self.slots, self.connections, now);
 }
 
@@ -125,24 +125,24 @@
 {
     // A backend server that dies says nothing, and its daemon would go on offering its slots: callers would see one
     // refused connection after the other. It is taken for gone once its announcements stop.
-    const bool isAwaited = m_server.has_value() || (m_isDraining && !m_isSignalled);
-    if (isAwaited && now - m_lastAnnounced >= internal::announcementTimeout) {
-        m_surroundings->metrics.count("membership", "server-silent");
+    const bool isServerExpected = m_server.has_value() || (m_isDraining && !m_isSignalled);
+    if (isServerExpected && now - m_lastAnnounced >= internal::announcementTimeout) {
+        m_context->metrics.count("membership", "server-silent");
         handleLeft(now);
     }
 }
 
-void Core::boundLastStart(const SteadyTime now)
+void Core::limitLastStart(const SteadyTime now)
 {
-    if (m_doorTimes.lastStart > Duration{} && !m_lastStartAt.has_value()) {
-        m_lastStartAt = now + m_doorTimes.lastStart;
+    if (m_drainTimes.lastStart > Duration{} && !m_lastStartAt.has_value()) {
+        m_lastStartAt = now + m_drainTimes.lastStart;
     }
 }
 
-void Core::tickDoor(const SteadyTime now)
+void Core::tickDrain(const SteadyTime now)
 {
-    if (m_doorClosesAt.has_value() && now >= *m_doorClosesAt) {
-        m_doorClosesAt.reset();
+    if (m_stopAcceptingAt.has_value() && now >= *m_stopAcceptingAt) {
+        m_stopAcceptingAt.reset();
         m_serving->drain();
     }
     if (m_lastStartAt.has_value() && now >= *m_lastStartAt) {
--- a/src/egretlatch/decision/crash_witness.hpp
+++ b/src/egretlatch/decision/crash_detector.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_DECISION_CRASH_WITNESS_HPP
-#define EGRETLATCH_DECISION_CRASH_WITNESS_HPP
+#ifndef EGRETLATCH_DECISION_CRASH_DETECTOR_HPP
+#define EGRETLATCH_DECISION_CRASH_DETECTOR_HPP
 
 #include <deque>
 #include <utility>
@@ -16,7 +16,7 @@
  * A server that crashes breaks all connections and then takes none, and comes back as another instance, while one that
  * loses answers goes on.
  */
-class CrashWitness
+class CrashDetector
 {
 public:
     /**
@@ -24,26 +24,26 @@
      * @param request The request.
      * @param now Current time.
      */
-    void noteLost(admission::RequestFingerprint request, SteadyTime now);
+    void noteLostRun(admission::RequestFingerprint request, SteadyTime now);
 
     /**
      * @brief Takes a run for which the server took no connection.
      * @param now Current time.
      * @return What ran when the server crashed; empty if it did not crash just now.
      */
-    [[nodiscard]] std::vector<admission::RequestFingerprint> noteNeverConnected(SteadyTime now);
+    [[nodiscard]] std::vector<admission::RequestFingerprint> noteConnectFailure(SteadyTime now);
 
     /**
      * @brief Takes that another instance is in the server's place, without a word of the one before that it would leave.
      * @param now Current time.
      * @return What ran when the server crashed; empty if that was told already, or nothing was lost.
      */
-    [[nodiscard]] std::vector<admission::RequestFingerprint> noteReplaced(SteadyTime now);
+    [[nodiscard]] std::vector<admission::RequestFingerprint> noteReplacement(SteadyTime now);
 
 private:
-    [[nodiscard]] std::vector<admission::RequestFingerprint> takeLost(Duration longestAgo, SteadyTime now);
+    [[nodiscard]] std::vector<admission::RequestFingerprint> takeLostRuns(Duration maxAge, SteadyTime now);
 
-    std::deque<std::pair<SteadyTime, admission::RequestFingerprint>> m_lost;
+    std::deque<std::pair<SteadyTime, admission::RequestFingerprint>> m_lostRuns;
 };
 
 } // namespace egretlatch::decision
--- a/src/egretlatch/decision/departure_news.cpp
+++ b/src/egretlatch/decision/departure_rumour.cpp
@@ -1,4 +1,4 @@
-#include <egretlatch/decision/departure_news.hpp>
+#include <egretlatch/decision/departure_rumour.hpp>
 
 namespace egretlatch::decision
 {
@@ -7,21 +7,21 @@
 {
 
 // Longer than a server stays that has said that it leaves, and than a heartbeat of its may be held up.
-constexpr std::chrono::seconds departureLife{120};
+constexpr std::chrono::seconds departureLifetime{120};
 
 } // namespace internal
 
-membership::Rumour departureNews(const DaemonId &daemon, const std::string &instance)
+membership::Rumour makeDepartureRumour(const DaemonId &daemon, const std::string &instance)
 {
     return {
         .key = {.kind = membership::RumourKind::departure, .key = membership::keyOf(daemon, instance)},
         .version = 1,
         .payload = {},
-        .remaining = internal::departureLife,
+        .remaining = internal::departureLifetime,
     };
 }
 
-std::optional<std::string> departedBeside(const membership::Rumour &rumour, const DaemonId &daemon)
+std::optional<std::string> departedInstance(const membership::Rumour &rumour, const DaemonId &daemon)
 {
     const std::string prefix = membership::keyOf(daemon, {});
     if (rumour.key.kind != membership::RumourKind::departure || !rumour.key.key.starts_with(prefix)) {
--- a/src/egretlatch/decision/departure_news.hpp
+++ b/src/egretlatch/decision/departure_rumour.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_DECISION_DEPARTURE_NEWS_HPP
-#define EGRETLATCH_DECISION_DEPARTURE_NEWS_HPP
+#ifndef EGRETLATCH_DECISION_DEPARTURE_RUMOUR_HPP
+#define EGRETLATCH_DECISION_DEPARTURE_RUMOUR_HPP
 
 #include <optional>
 #include <string>
@@ -18,7 +18,7 @@
  * @param instance Instance name of the server.
  * @return The news.
  */
-[[nodiscard]] membership::Rumour departureNews(const DaemonId &daemon, const std::string &instance);
+[[nodiscard]] membership::Rumour makeDepartureRumour(const DaemonId &daemon, const std::string &instance);
 
 /**
  * @brief Reads the news that a backend server leaves.
@@ -26,7 +26,7 @@
  * @param daemon The daemon that reads it.
  * @return Instance name of the server; nothing if the server is beside another daemon.
  */
-[[nodiscard]] std::optional<std::string> departedBeside(const membership::Rumour &rumour, const DaemonId &daemon);
+[[nodiscard]] std::optional<std::string> departedInstance(const membership::Rumour &rumour, const DaemonId &daemon);
 
 } // namespace egretlatch::decision
 
--- a/src/egretlatch/decision/entry_answers.cpp
+++ b/src/egretlatch/decision/entry_answers.cpp
@@ -31,8 +31,8 @@
         const int returned = m_rules.countsOnlyArrivals ? 0 : pending.attemptsLeft;
         m_serving.noteInnerEnded(*pending.parent, {.attempts = returned, .slotTime = pending.slotTime, .hasFailed = hasFailed}, now);
     }
-    m_surroundings.metrics.count("answers", toString(answer.verdict));
-    m_surroundings.metrics.observe("call_duration", answer.service, now - pending.arrived);
+    m_context.metrics.count("answers", toString(answer.verdict));
+    m_context.metrics.observe("call_duration", answer.service, now - pending.arrived);
     recordSpan(pending, answer, now);
     // What is refused on behalf of another daemon is recorded there, where the caller is.
     if (answer.refusal.has_value() && std::holds_alternative<ExchangeId>(pending.requester)) {
@@ -62,13 +62,13 @@
     if (answer.refusal.has_value()) {
         span.refusal = answer.refusal->reason;
     }
-    m_surroundings.actions.emplace_back(RecordSpan{.span = std::move(span)});
+    m_context.actions.emplace_back(RecordSpan{.span = std::move(span)});
 }
 
 void EntryHandler::deliver(const Pending &pending, CallerAnswer answer)
 {
     if (const auto *const exchange = std::get_if<ExchangeId>(&pending.requester)) {
-        m_surroundings.actions.emplace_back(AnswerCaller{.exchange = *exchange, .answer = std::move(answer)});
+        m_context.actions.emplace_back(AnswerCaller{.exchange = *exchange, .answer = std::move(answer)});
         return;
     }
     const auto &peer = std::get<PeerCall>(pending.requester);
@@ -83,7 +83,7 @@
     message.attemptsReturned = pending.attemptsLeft;
     message.slotTime = pending.slotTime;
     message.nextKey = std::move(answer.nextKey);
-    m_surroundings.actions.emplace_back(SendToPeer{.to = peer.daemon, .endpoint = {}, .message = std::move(message)});
+    m_context.actions.emplace_back(SendToPeer{.to = peer.daemon, .endpoint = {}, .message = std::move(message)});
 }
 
 void EntryHandler::finishRefused(Pending pending, account::Refusal refusal, const SteadyTime now)
@@ -106,16 +106,16 @@
     record.service = pending.call.service;
     record.kind = pending.call.kind;
     record.priority = pending.rank.priority;
-    if (const manifest::KindSpec *const kind = m_surroundings.manifest->findKind(record.service, record.kind)) {
+    if (const manifest::KindSpec *const kind = m_context.manifest->findKind(record.service, record.kind)) {
         record.worth = kind->worth;
     }
-    record.time = m_surroundings.clock.wallNow();
-    m_surroundings.metrics.count("refusals", account::toString(answer.refusal->reason));
-    m_surroundings.actions.emplace_back(RecordRefusal{
+    record.time = m_context.clock.wallNow();
+    m_context.metrics.count("refusals", account::toString(answer.refusal->reason));
+    m_context.actions.emplace_back(RecordRefusal{
         .record = std::move(record),
         .requestName = pending.call.requestName,
         .server = pending.server,
-        .elapsed = m_surroundings.clock.steadyNow() - pending.arrived,
+        .elapsed = m_context.clock.steadyNow() - pending.arrived,
         .depth = pending.depth,
     });
 }
--- a/src/egretlatch/decision/entry_attempts.cpp
+++ b/src/egretlatch/decision/entry_attempts.cpp
@@ -23,34 +23,34 @@
 void EntryHandler::makeAttempt(Pending pending, const SteadyTime now)
 {
     if (pending.tried.empty()) {
-        m_surroundings.metrics.count("first_attempts", pending.call.service);
+        m_context.metrics.count("first_attempts", pending.call.service);
     }
     const routing::RouteRequest route{
         .service = pending.call.service, .kind = pending.call.kind, .root = pending.root, .excluded = pending.tried, .deadline = pending.deadline};
-    const std::optional<DaemonId> server = m_surroundings.router->choose(route, now);
+    const std::optional<DaemonId> server = m_context.router->choose(route, now);
     if (!server.has_value()) {
         const std::chrono::milliseconds retryAfter = m_rules.countsOnlyArrivals ? internal::retryAfterNoServer : std::chrono::milliseconds{};
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::noServer, "no backend server is left to try", {}, retryAfter), now);
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::noServer, "no backend server is left to try", {}, retryAfter), now);
         return;
     }
-    const membership::Member *const member = m_surroundings.roster.find(*server);
+    const membership::Member *const member = m_context.roster.find(*server);
     pending.phase = Phase::attempting;
     pending.server = *server;
     pending.tried.insert(*server);
-    pending.attemptTrace = m_rules.traces ? account::childOf(pending.trace, m_surroundings.random) : account::TraceContext{};
+    pending.attemptTrace = m_rules.traces ? account::childOf(pending.trace, m_context.random) : account::TraceContext{};
     pending.sentAt = now;
     // What is lent may have been spent by a daemon that is then lost without an answer, so it counts as spent. One attempt
     // stays here, or a read at a daemon that fails could not be made again elsewhere.
-    const int kept = m_rules.countsOnlyArrivals ? pending.attemptsLeft : std::min(pending.attemptsLeft, 1);
-    pending.attemptsOut = pending.attemptsLeft - kept;
-    pending.attemptsLeft = kept;
+    const int retained = m_rules.countsOnlyArrivals ? pending.attemptsLeft : std::min(pending.attemptsLeft, 1);
+    pending.attemptsOut = pending.attemptsLeft - retained;
+    pending.attemptsLeft = retained;
     protocol::CallRequest request = requestOf(pending, {++m_lastCall}, now);
     request.receiver = member == nullptr ? Incarnation{} : member->incarnation;
     const std::string endpoint = member == nullptr ? std::string{} : member->endpoint;
-    m_surroundings.metrics.count("attempts", request.service);
+    m_context.metrics.count("attempts", request.service);
     const SteadyTime deadline = pending.deadline;
-    keep(request.call, std::move(pending), deadline);
-    m_surroundings.actions.emplace_back(SendToPeer{.to = *server, .endpoint = endpoint, .message = std::move(request)});
+    addPending(request.call, std::move(pending), deadline);
+    m_context.actions.emplace_back(SendToPeer{.to = *server, .endpoint = endpoint, .message = std::move(request)});
 }
 
 protocol::CallRequest EntryHandler::requestOf(const Pending &pending, const CallId call, const SteadyTime now) const
@@ -72,14 +72,14 @@
     request.rootCosts = pending.rootCosts;
     request.attemptsLent = pending.attemptsOut;
     request.depth = pending.depth;
-    request.isRepeat = pending.isOfRepeat || pending.isRepeat;
+    request.isRepeat = pending.isCallerRepeat || pending.isRepeat;
     request.scope = pending.scope;
     return request;
 }
 
-void EntryHandler::note(const std::string_view what, const Pending &pending, const protocol::CallAnswer &answer, const SteadyTime now)
+void EntryHandler::logEvent(const std::string_view what, const Pending &pending, const protocol::CallAnswer &answer, const SteadyTime now)
 {
-    m_surroundings.actions.emplace_back(NoteRequest{
+    m_context.actions.emplace_back(LogRequest{
         .what = what,
         .requestName = pending.call.requestName,
         .service = pending.call.service,
@@ -101,7 +101,7 @@
     case account::RefusalReason::draining:
     case account::RefusalReason::noServer:
     case account::RefusalReason::serverLost:
-        return pending.tried.size() < mostMoves;
+        return pending.tried.size() < maxMoves;
     case account::RefusalReason::overloadAtServer:
         return pending.tried.size() < 2;
     default:
@@ -126,8 +126,8 @@
     if (m_ratio.take(pending.call.service)) {
         return true;
     }
-    m_surroundings.metrics.count("retries_denied", pending.call.service);
-    note("not sent again: the fleet's retries are spent", pending, answer, now);
+    m_context.metrics.count("retries_denied", pending.call.service);
+    logEvent("not sent again: the fleet's retries are spent", pending, answer, now);
     return false;
 }
 
@@ -145,31 +145,31 @@
     }
     // A refusal for overload is not retried: it would add load where there is too much, and multiply with each hop.
     const account::RefusalReason reason = answer.refusal->reason;
-    const bool isWorthIt =
+    const bool isRetryable =
         reason == account::RefusalReason::serverLost || reason == account::RefusalReason::draining || reason == account::RefusalReason::noServer;
-    return isWorthIt && takeRetry(pending, answer, now);
+    return isRetryable && takeRetry(pending, answer, now);
 }
 
 void EntryHandler::retryLater(Pending pending, const SteadyTime now)
 {
-    const Duration wait = retry::backoff(pending.retries, m_surroundings.random);
+    const Duration wait = retry::backoff(pending.retries, m_context.random);
     --pending.attemptsLeft;
     ++pending.retries;
     pending.isRepeat = true;
-    m_surroundings.metrics.count("retries", pending.call.service);
+    m_context.metrics.count("retries", pending.call.service);
     pending.phase = Phase::backingOff;
     // A wait that outlasts the deadline ends there; no attempt is out then, so the verdict stays as it is.
     const SteadyTime wakeAt = std::min(now + wait, pending.deadline);
-    keep({++m_lastCall}, std::move(pending), wakeAt);
+    addPending({++m_lastCall}, std::move(pending), wakeAt);
 }
 
 void EntryHandler::endAttempt(const Pending &pending, const routing::AttemptResult &result, const protocol::CallAnswer *const answer, const SteadyTime now)
 {
-    m_surroundings.router->noteResult(pending.server, result, now);
+    m_context.router->noteResult(pending.server, result, now);
     if (answer != nullptr) {
         noteAnswer(pending, *answer, now);
     }
-    m_surroundings.metrics.observe("attempt_duration", pending.call.service, result.latency);
+    m_context.metrics.observe("attempt_duration", pending.call.service, result.latency);
     if (!pending.attemptTrace.sampled) {
         return;
     }
@@ -186,15 +186,15 @@
     if (answer != nullptr && answer->refusal.has_value()) {
         span.refusal = answer->refusal->reason;
     }
-    m_surroundings.actions.emplace_back(RecordSpan{.span = std::move(span)});
+    m_context.actions.emplace_back(RecordSpan{.span = std::move(span)});
 }
 
 void EntryHandler::noteAnswer(const Pending &pending, const protocol::CallAnswer &answer, const SteadyTime now)
 {
-    admission::EntryControl &control = *m_surroundings.entryControl;
+    admission::EntryControl &control = *m_context.entryControl;
     control.noteLoad({.service = pending.call.service, .daemon = pending.server, .load = answer.load}, now);
     if (answer.pace.has_value()) {
-        m_surroundings.router->notePaces(pending.server, {*answer.pace}, now);
+        m_context.router->notePaces(pending.server, {*answer.pace}, now);
     }
     control.noteChain({pending.call.service, pending.call.kind}, answer.chain);
     for (const protocol::ServiceLevel &level : answer.levels) {
@@ -206,9 +206,9 @@
 {
     // Daemons agree on nothing: each takes its part of what the fleet may repeat, so the sum stays within the whole. A
     // daemon that knows few others would take too much, so it takes none before it knows some.
-    const std::size_t daemons = m_surroundings.roster.participants().size() + 1;
-    if (m_rules.retrySlack.has_value() && daemons != m_daemons) {
-        m_daemons = daemons;
+    const std::size_t daemons = m_context.roster.participants().size() + 1;
+    if (m_rules.retrySlack.has_value() && daemons != m_fleetSize) {
+        m_fleetSize = daemons;
         m_ratio.setMostSaved(daemons < 2 ? 0.0 : *m_rules.retrySlack / static_cast<double>(daemons));
     }
 }
--- a/src/egretlatch/decision/entry_handler.cpp
+++ b/src/egretlatch/decision/entry_handler.cpp
@@ -18,12 +18,12 @@
 
 [[nodiscard]] static CallerAnswer callerAnswerOf(const protocol::CallAnswer &answer)
 {
-    CallerAnswer given;
-    given.verdict = answer.verdict;
-    given.status = answer.status;
-    given.headers = answer.headers;
-    given.body = answer.body;
-    return given;
+    CallerAnswer callerAnswer;
+    callerAnswer.verdict = answer.verdict;
+    callerAnswer.status = answer.status;
+    callerAnswer.headers = answer.headers;
+    callerAnswer.body = answer.body;
+    return callerAnswer;
 }
 
 [[nodiscard]] static routing::AttemptOutcome outcomeOf(const protocol::CallAnswer &answer)
@@ -40,11 +40,8 @@
 
 } // namespace internal
 
-EntryHandler::EntryHandler(Surroundings &surroundings,
-                           ServingHandler &serving,
-                           const retry::KeyLedgerLimits ledgerLimits,
-                           std::unique_ptr<retry::ShardGrants> grants)
-    : m_surroundings{surroundings}
+EntryHandler::EntryHandler(CoreContext &context, ServingHandler &serving, const retry::KeyLedgerLimits ledgerLimits, std::unique_ptr<retry::ShardGrants> grants)
+    : m_context{context}
     , m_serving{serving}
     , m_ledger{ledgerLimits}
     , m_grantedLedger{ledgerLimits}
@@ -52,10 +49,10 @@
 {
 }
 
-std::optional<std::string> EntryHandler::mistakeOf(const CallerCall &call, const bool isInner) const
+std::optional<std::string> EntryHandler::findRequestError(const CallerCall &call, const bool isInner) const
 {
-    const manifest::KindSpec *const kind = m_surroundings.manifest->findKind(call.service, call.kind);
-    const bool isKeyNeeded = m_surroundings.unownedKeys != retry::UnownedKeys::notNeeded;
+    const manifest::KindSpec *const kind = m_context.manifest->findKind(call.service, call.kind);
+    const bool isKeyNeeded = m_context.unownedKeys != retry::UnownedKeys::notNeeded;
     if (isKeyNeeded && !kind->idempotent && call.key.empty() && !isInner) {
         return fmt::format("{}/{} is not idempotent: an Idempotency-Key header is required", call.service, call.kind);
     }
@@ -68,7 +65,7 @@
     return std::nullopt;
 }
 
-void EntryHandler::answerMistake(const ExchangeId exchange, const CallerCall &call, const int status, std::string mistake)
+void EntryHandler::answerRequestError(const ExchangeId exchange, const CallerCall &call, const int status, std::string requestError)
 {
     CallerAnswer answer;
     // An earlier attempt with the key may have been made where the mistake was not one, or not seen.
@@ -76,27 +73,27 @@
     answer.status = status;
     answer.service = call.service;
     answer.kind = call.kind;
-    answer.mistake = std::move(mistake);
-    m_surroundings.actions.emplace_back(AnswerCaller{exchange, std::move(answer)});
+    answer.requestError = std::move(requestError);
+    m_context.actions.emplace_back(AnswerCaller{exchange, std::move(answer)});
 }
 
 void EntryHandler::handleArrived(const CallArrived &arrived, const SteadyTime now)
 {
     const CallerCall &call = arrived.call;
-    const manifest::KindSpec *const kind = m_surroundings.findKind(call.service, call.kind);
+    const manifest::KindSpec *const kind = m_context.findKind(call.service, call.kind);
     if (kind == nullptr) {
-        answerMistake(arrived.exchange, call, internal::notFound, fmt::format("no service and kind {}/{} is declared", call.service, call.kind));
+        answerRequestError(arrived.exchange, call, internal::notFound, fmt::format("no service and kind {}/{} is declared", call.service, call.kind));
         return;
     }
-    if (const std::optional<std::string> mistake = mistakeOf(call, !call.runToken.empty())) {
-        answerMistake(arrived.exchange, call, internal::badRequest, *mistake);
+    if (const std::optional<std::string> requestError = findRequestError(call, !call.runToken.empty())) {
+        answerRequestError(arrived.exchange, call, internal::badRequest, *requestError);
         return;
     }
     std::optional<InnerContext> inner;
     if (!call.runToken.empty()) {
         inner = m_serving.findRun(call.runToken);
         if (!inner.has_value()) {
-            answerMistake(arrived.exchange, call, internal::badRequest, "Egretlatch-Call names no run that is running here; it may have been cancelled");
+            answerRequestError(arrived.exchange, call, internal::badRequest, "Egretlatch-Call names no run that is running here; it may have been cancelled");
             return;
         }
     }
@@ -107,7 +104,7 @@
         m_serving.noteInnerBegan(inner->execution, {call.service, call.kind});
     }
     Pending pending = begin(arrived, *kind, inner, now);
-    if (!kind->idempotent && m_surroundings.unownedKeys != retry::UnownedKeys::notNeeded) {
+    if (!kind->idempotent && m_context.unownedKeys != retry::UnownedKeys::notNeeded) {
         findOwner(std::move(pending), inner, now);
         return;
     }
@@ -118,26 +115,26 @@
 {
     // A key that this daemon owns is run by no other, so only its own calls are let in while it leaves.
     if (m_isDraining && pending.depth == 0 && !pending.holdsKey) {
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::draining, "the entry daemon is leaving"), now);
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::draining, "the entry daemon is leaving"), now);
         return;
     }
     if (isQuarantined(pending, now)) {
         // Refused with a long wait: it is let in again once its crashes are forgotten.
         finishRefused(std::move(pending),
-                      m_surroundings.refuse(
+                      m_context.refuse(
                           account::RefusalReason::quarantined, "requests like this one have crashed three backend servers", {}, internal::retryAfterQuarantine),
                       now);
         return;
     }
     if (pending.depth == 0) {
         const admission::EntryRequest request{.service = pending.call.service, .kind = pending.call.kind, .root = pending.root, .rank = pending.rank};
-        if (auto refusal = m_surroundings.entryControl->check(request, now)) {
-            finishRefused(std::move(pending), m_surroundings.refuse(refusal->reason, refusal->rule, refusal->figures, refusal->retryAfter), now);
+        if (auto refusal = m_context.entryControl->check(request, now)) {
+            finishRefused(std::move(pending), m_context.refuse(refusal->reason, refusal->rule, refusal->figures, refusal->retryAfter), now);
             return;
         }
     }
-    if (const manifest::ServiceSpec *const service = m_surroundings.manifest->findService(pending.call.service)) {
-        if (pending.isOfRepeat) {
+    if (const manifest::ServiceSpec *const service = m_context.manifest->findService(pending.call.service)) {
+        if (pending.isCallerRepeat) {
             m_ratio.charge(service->name);
         } else {
             m_ratio.noteFirst(service->name, service->retryRatio);
@@ -148,12 +145,12 @@
 
 bool EntryHandler::isQuarantined(const Pending &pending, const SteadyTime now) const
 {
-    if (m_surroundings.suspects.isEmpty()) {
+    if (m_context.suspects.isEmpty()) {
         return false;
     }
     const CallerCall &call = pending.call;
     const std::string_view body{call.body.constData(), static_cast<std::size_t>(call.body.size())};
-    return m_surroundings.suspects.isQuarantined(admission::fingerprintOf(call.method, call.path, m_surroundings.roster.self().service, body), now);
+    return m_context.suspects.isQuarantined(admission::fingerprintOf(call.method, call.path, m_context.roster.self().service, body), now);
 }
 
 EntryHandler::Pending
@@ -173,7 +170,7 @@
         pending.rank = inner->rank;
         pending.rootCosts = inner->rootCosts;
         pending.depth = inner->depth + 1;
-        pending.isOfRepeat = inner->isRepeat;
+        pending.isCallerRepeat = inner->isRepeat;
         pending.parent = inner->execution;
         pending.deadline = std::min(pending.deadline, inner->deadline);
         pending.attemptsLeft = m_serving.lendAttempts(inner->execution);
@@ -184,28 +181,28 @@
         }
         if (m_rules.traces) {
             pending.parentSpanId = inner->trace.spanId;
-            pending.trace = account::childOf(inner->trace, m_surroundings.random);
+            pending.trace = account::childOf(inner->trace, m_context.random);
         }
         return pending;
     }
-    pending.root = m_surroundings.mint.mint(m_surroundings.clock.wallNow());
-    pending.rank = m_surroundings.entryControl->rankOf(call.service, call.kind);
-    pending.rootCosts = m_surroundings.entryControl->costsOf(call.service, call.kind);
+    pending.root = m_context.mint.mint(m_context.clock.wallNow());
+    pending.rank = m_context.entryControl->rankOf(call.service, call.kind);
+    pending.rootCosts = m_context.entryControl->costsOf(call.service, call.kind);
     pending.attemptsLeft = kind.retryBudget;
-    if (m_surroundings.unownedKeys != retry::UnownedKeys::notNeeded) {
-        const retry::KeyOwner self{.daemon = m_surroundings.self, .incarnation = m_surroundings.incarnation};
-        pending.scope = retry::RequestKey::mint(self, ageOf(now), m_surroundings.random).text();
+    if (m_context.unownedKeys != retry::UnownedKeys::notNeeded) {
+        const retry::KeyOwner self{.daemon = m_context.self, .incarnation = m_context.incarnation};
+        pending.scope = retry::RequestKey::mint(self, ageOf(now), m_context.random).text();
     }
     if (!m_rules.traces) {
         return pending;
     }
-    const account::TraceContext above = call.trace.value_or(account::startTrace(m_surroundings.random));
-    pending.parentSpanId = call.trace.has_value() ? above.spanId : std::string{};
-    pending.trace = account::childOf(above, m_surroundings.random);
+    const account::TraceContext parentTrace = call.trace.value_or(account::startTrace(m_context.random));
+    pending.parentSpanId = call.trace.has_value() ? parentTrace.spanId : std::string{};
+    pending.trace = account::childOf(parentTrace, m_context.random);
     return pending;
 }
 
-void EntryHandler::keep(const CallId call, Pending pending, const SteadyTime wakeAt)
+void EntryHandler::addPending(const CallId call, Pending pending, const SteadyTime wakeAt)
 {
     pending.wakeAt = wakeAt;
     if (const auto *const exchange = std::get_if<ExchangeId>(&pending.requester)) {
@@ -251,11 +248,11 @@
     // from one daemon only, so all three must match.
     const auto found = m_pending.find(answer.call);
     const bool isExpected = found != m_pending.end() && (found->second.phase == Phase::attempting || found->second.phase == Phase::forwarded);
-    if (answer.receiver != m_surroundings.incarnation || !isExpected || found->second.server != from) {
-        m_surroundings.metrics.count("messages_dropped", "late-answer");
+    if (answer.receiver != m_context.incarnation || !isExpected || found->second.server != from) {
+        m_context.metrics.count("messages_dropped", "late-answer");
         return;
     }
-    Pending pending = take(found);
+    Pending pending = removePending(found);
     const int returned = std::clamp(answer.attemptsReturned, 0, pending.attemptsOut);
     pending.attemptsLeft = pending.phase == Phase::forwarded ? returned : pending.attemptsLeft + returned;
     pending.slotTime += answer.slotTime;
@@ -272,10 +269,10 @@
                &answer,
                now);
     if (mayTryElsewhere(pending, answer, now)) {
-        note("sent again", pending, answer, now);
+        logEvent("sent again", pending, answer, now);
         --pending.attemptsLeft;
         pending.isRepeat = true;
-        m_surroundings.metrics.count("retries", pending.call.service);
+        m_context.metrics.count("retries", pending.call.service);
         makeAttempt(std::move(pending), now);
         return;
     }
@@ -285,25 +282,25 @@
     }
     pending.verdict = retry::combine(pending.verdict, answer.verdict);
     if (mayMoveOn(pending, answer, now)) {
-        m_surroundings.metrics.count("moves", pending.call.service);
-        note("moved on", pending, answer, now);
+        m_context.metrics.count("moves", pending.call.service);
+        logEvent("moved on", pending, answer, now);
         makeAttempt(std::move(pending), now);
         return;
     }
     if (mayRetry(pending, answer, now)) {
-        note("sent again", pending, answer, now);
+        logEvent("sent again", pending, answer, now);
         retryLater(std::move(pending), now);
         return;
     }
-    finishRefused(std::move(pending), answer.refusal.value_or(m_surroundings.refuse(account::RefusalReason::serverLost, "no answer and no reason")), now);
+    finishRefused(std::move(pending), answer.refusal.value_or(m_context.refuse(account::RefusalReason::serverLost, "no answer and no reason")), now);
 }
 
 void EntryHandler::handleSendFailed(const SendFailed &failed, const SteadyTime now)
 {
     protocol::CallAnswer answer;
     answer.call = failed.call;
-    answer.receiver = m_surroundings.incarnation;
-    answer.refusal = m_surroundings.refuse(account::RefusalReason::serverLost, "the daemon chosen for the call cannot be reached");
+    answer.receiver = m_context.incarnation;
+    answer.refusal = m_context.refuse(account::RefusalReason::serverLost, "the daemon chosen for the call cannot be reached");
     answer.status = account::httpStatus(answer.refusal->reason);
     const auto found = m_pending.find(failed.call);
     if (found != m_pending.end()) {
@@ -320,7 +317,7 @@
     // The answer to an attempt comes back by the connection that the attempt left by. Once that is lost no answer can
     // come, and the caller would wait for its whole deadline in vain. Where the connection never opened, each attempt that
     // did not leave has a SendFailed of its own; a later one may have left by the next connection.
-    if (!lost.wasConnected || lost.daemon == m_surroundings.self) {
+    if (!lost.wasConnected || lost.daemon == m_context.self) {
         return;
     }
     std::vector<CallId> calls;
@@ -332,9 +329,9 @@
     for (const CallId call : calls) {
         protocol::CallAnswer answer;
         answer.call = call;
-        answer.receiver = m_surroundings.incarnation;
+        answer.receiver = m_context.incarnation;
         answer.verdict = Verdict::mayHaveRun;
-        answer.refusal = m_surroundings.refuse(account::RefusalReason::serverLost, "the connection to the serving daemon was lost before it answered");
+        answer.refusal = m_context.refuse(account::RefusalReason::serverLost, "the connection to the serving daemon was lost before it answered");
         answer.status = account::httpStatus(answer.refusal->reason);
         handleAnswer(lost.daemon, answer, now);
     }
@@ -347,7 +344,7 @@
     while (!m_wakes.empty() && m_wakes.begin()->first <= now) {
         const auto found = m_pending.find(m_wakes.begin()->second);
         if (found->second.deadline > now) {
-            makeAttempt(take(found), now);
+            makeAttempt(removePending(found), now);
             continue;
         }
         giveUp(found, account::RefusalReason::deadlinePassed, "no answer came before the deadline", now);
@@ -370,21 +367,21 @@
 void EntryHandler::giveUp(const PendingMap::iterator found, const account::RefusalReason reason, const std::string &rule, const SteadyTime now)
 {
     const CallId call = found->first;
-    Pending pending = take(found);
+    Pending pending = removePending(found);
     if (pending.phase != Phase::backingOff) {
         // An attempt has been sent and not ended: it may be running now, or may be started by a daemon that reads late.
         pending.verdict = retry::combine(pending.verdict, retry::verdictOf(retry::AttemptEnd::unanswered));
     }
     if (pending.phase == Phase::attempting) {
-        m_surroundings.actions.emplace_back(SendToPeer{.to = pending.server, .endpoint = {}, .message = protocol::CallCancel{.call = call}});
-        const bool isCallers = reason == account::RefusalReason::cancelled;
-        const routing::AttemptOutcome outcome = isCallers ? routing::AttemptOutcome::abandoned : routing::AttemptOutcome::lost;
+        m_context.actions.emplace_back(SendToPeer{.to = pending.server, .endpoint = {}, .message = protocol::CallCancel{.call = call}});
+        const bool isCallerCancel = reason == account::RefusalReason::cancelled;
+        const routing::AttemptOutcome outcome = isCallerCancel ? routing::AttemptOutcome::abandoned : routing::AttemptOutcome::lost;
         endAttempt(pending, {.outcome = outcome, .kind = pending.call.kind, .latency = now - pending.sentAt, .bytes = 0, .load = std::nullopt}, nullptr, now);
     }
-    finishRefused(std::move(pending), m_surroundings.refuse(reason, rule), now);
+    finishRefused(std::move(pending), m_context.refuse(reason, rule), now);
 }
 
-EntryHandler::Pending EntryHandler::take(const PendingMap::iterator found)
+EntryHandler::Pending EntryHandler::removePending(const PendingMap::iterator found)
 {
     Pending pending = std::move(found->second);
     m_wakes.erase({pending.wakeAt, found->first});
--- a/src/egretlatch/decision/entry_handler.hpp
+++ b/src/egretlatch/decision/entry_handler.hpp
@@ -9,11 +9,11 @@
 #include <utility>
 #include <vector>
 
+#include <egretlatch/decision/core_context.hpp>
 #include <egretlatch/decision/entry_rules.hpp>
 #include <egretlatch/decision/event.hpp>
 #include <egretlatch/decision/requester.hpp>
 #include <egretlatch/decision/serving_handler.hpp>
-#include <egretlatch/decision/surroundings.hpp>
 #include <egretlatch/protocol/messages.hpp>
 #include <egretlatch/retry/key_ledger.hpp>
 #include <egretlatch/retry/preferred_shards.hpp>
@@ -36,7 +36,7 @@
      * @param ledgerLimits How much is remembered of request keys.
      * @param grants Tells the owners of keys that name none; null without a platform.
      */
-    EntryHandler(Surroundings &surroundings, ServingHandler &serving, retry::KeyLedgerLimits ledgerLimits, std::unique_ptr<retry::ShardGrants> grants);
+    EntryHandler(CoreContext &context, ServingHandler &serving, retry::KeyLedgerLimits ledgerLimits, std::unique_ptr<retry::ShardGrants> grants);
 
     /**
      * @brief Takes a call.
@@ -175,7 +175,7 @@
         /*! @brief A backend server may have had it. */
         bool isRepeat{};
         /*! @brief Its caller is a run that repeats one, so each of its attempts is a repeat. */
-        bool isOfRepeat{};
+        bool isCallerRepeat{};
         std::optional<ExecutionId> parent;
         account::TraceContext trace;
         std::string parentSpanId;
@@ -196,10 +196,10 @@
     using PendingMap = std::map<CallId, Pending>;
 
     /*! @brief Daemons that one call is offered to at most while none of their servers gets it. */
-    static constexpr std::size_t mostMoves = 4;
+    static constexpr std::size_t maxMoves = 4;
 
-    [[nodiscard]] std::optional<std::string> mistakeOf(const CallerCall &call, bool isInner) const;
-    void answerMistake(ExchangeId exchange, const CallerCall &call, int status, std::string mistake);
+    [[nodiscard]] std::optional<std::string> findRequestError(const CallerCall &call, bool isInner) const;
+    void answerRequestError(ExchangeId exchange, const CallerCall &call, int status, std::string requestError);
     [[nodiscard]] bool isQuarantined(const Pending &pending, SteadyTime now) const;
     void admit(Pending pending, SteadyTime now);
     void findOwner(Pending pending, const std::optional<InnerContext> &inner, SteadyTime now);
@@ -207,8 +207,8 @@
     [[nodiscard]] retry::KeyLedger &ledgerOf(const Pending &pending);
     void tickGrants(SteadyTime now);
     void shareRetrySlack();
-    void own(Pending pending, const retry::RequestKey &key, SteadyTime now);
-    void ownUnnamed(Pending pending, SteadyTime now);
+    void handleOwnedKey(Pending pending, const retry::RequestKey &key, SteadyTime now);
+    void handleUnownedKey(Pending pending, SteadyTime now);
     void answerFinding(Pending pending, const retry::KeyFinding &finding, SteadyTime now);
     [[nodiscard]] bool inheritAttempts(Pending &pending, const retry::RequestKey &key, std::uint64_t request);
     void beginOwned(Pending pending, std::chrono::milliseconds age, std::uint64_t request, SteadyTime now);
@@ -218,7 +218,7 @@
     void releaseKey(const Pending &pending, CallerAnswer &answer);
     void finishJoined(const std::string &key, const CallerAnswer &answer, SteadyTime now);
     [[nodiscard]] protocol::CallRequest requestOf(const Pending &pending, CallId call, SteadyTime now) const;
-    void keep(CallId call, Pending pending, SteadyTime wakeAt);
+    void addPending(CallId call, Pending pending, SteadyTime wakeAt);
     void retryLater(Pending pending, SteadyTime now);
     void deliver(const Pending &pending, CallerAnswer answer);
     void recordRefusal(const Pending &pending, const CallerAnswer &answer);
@@ -229,7 +229,7 @@
     void makeAttempt(Pending pending, SteadyTime now);
     void endAttempt(const Pending &pending, const routing::AttemptResult &result, const protocol::CallAnswer *answer, SteadyTime now);
     void noteAnswer(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
-    void note(std::string_view what, const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
+    void logEvent(std::string_view what, const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
     [[nodiscard]] bool mayMoveOn(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now) const;
     [[nodiscard]] bool mayTryElsewhere(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
     [[nodiscard]] bool takeRetry(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
@@ -237,9 +237,9 @@
     void finish(Pending pending, CallerAnswer answer, SteadyTime now);
     void finishRefused(Pending pending, account::Refusal refusal, SteadyTime now);
     void giveUp(PendingMap::iterator found, account::RefusalReason reason, const std::string &rule, SteadyTime now);
-    [[nodiscard]] Pending take(PendingMap::iterator found);
+    [[nodiscard]] Pending removePending(PendingMap::iterator found);
 
-    Surroundings &m_surroundings;
+    CoreContext &m_context;
     ServingHandler &m_serving;
     PendingMap m_pending;
     std::map<ExchangeId, CallId> m_byExchange;
@@ -253,7 +253,7 @@
     retry::PreferredShards m_preferredShards;
     retry::RatioBudget m_ratio;
     EntryRules m_rules;
-    std::size_t m_daemons{};
+    std::size_t m_fleetSize{};
     /*! @brief When each pending call is to be looked at: its next attempt, or its deadline. */
     std::set<std::pair<SteadyTime, CallId>> m_wakes;
     std::uint64_t m_lastCall{};
--- a/src/egretlatch/decision/entry_keys.cpp
+++ b/src/egretlatch/decision/entry_keys.cpp
@@ -73,16 +73,16 @@
     CallerAnswer answer;
     answer.service = requested.service;
     answer.kind = requested.kind;
-    if (m_surroundings.manifest == nullptr || m_surroundings.manifest->findKind(requested.service, requested.kind) == nullptr) {
+    if (m_context.manifest == nullptr || m_context.manifest->findKind(requested.service, requested.kind) == nullptr) {
         answer.status = internal::notFoundStatus;
-        answer.mistake = fmt::format("no service and kind {}/{} is declared", requested.service, requested.kind);
+        answer.requestError = fmt::format("no service and kind {}/{} is declared", requested.service, requested.kind);
     } else if (isDraining) {
         // The key's owner would soon be gone, and its requests refused as may-have-run.
-        answer.refusal = m_surroundings.refuse(account::RefusalReason::draining, "a daemon that is leaving mints no keys");
+        answer.refusal = m_context.refuse(account::RefusalReason::draining, "a daemon that is leaving mints no keys");
         answer.status = account::httpStatus(answer.refusal->reason);
     } else {
-        const retry::KeyOwner self{.daemon = m_surroundings.self, .incarnation = m_surroundings.incarnation};
-        const retry::RequestKey key = retry::RequestKey::mint(self, ageOf(now), m_surroundings.random);
+        const retry::KeyOwner self{.daemon = m_context.self, .incarnation = m_context.incarnation};
+        const retry::RequestKey key = retry::RequestKey::mint(self, ageOf(now), m_context.random);
         answer.verdict = Verdict::completed;
         answer.status = internal::created;
         answer.headers.push_back({.name = "Content-Type", .value = "application/json"});
@@ -90,12 +90,12 @@
         document[u"key"] = QString::fromStdString(key.text());
         answer.body = QJsonDocument{document}.toJson(QJsonDocument::Compact);
     }
-    m_surroundings.actions.emplace_back(AnswerCaller{.exchange = requested.exchange, .answer = std::move(answer)});
+    m_context.actions.emplace_back(AnswerCaller{.exchange = requested.exchange, .answer = std::move(answer)});
 }
 
 std::chrono::milliseconds EntryHandler::ageOf(const SteadyTime now) const
 {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(now - m_surroundings.born);
+    return std::chrono::duration_cast<std::chrono::milliseconds>(now - m_context.startedAt);
 }
 
 std::string EntryHandler::innerScope(const InnerContext &inner, const CallerCall &call)
@@ -134,8 +134,8 @@
 void EntryHandler::findOwner(Pending pending, const std::optional<InnerContext> &inner, const SteadyTime now)
 {
     const std::optional<retry::RequestKey> key = keyOf(pending, inner);
-    if (!key.has_value() && m_surroundings.unownedKeys == retry::UnownedKeys::entryMemory) {
-        ownUnnamed(std::move(pending), now);
+    if (!key.has_value() && m_context.unownedKeys == retry::UnownedKeys::entryMemory) {
+        handleUnownedKey(std::move(pending), now);
         return;
     }
     pending.knowledge = retry::KeyKnowledge::none;
@@ -143,15 +143,15 @@
         const std::string rule = m_grants == nullptr
             ? "the key names no owner, and no platform is set to tell one; mint one by POST /keys/{service}/{kind}"
             : "the key names no owner and carries no time; use a version 7 UUID, or mint one by POST /keys/{service}/{kind}";
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
         return;
     }
     pending.call.key = key->text();
     if (!key->uuid().has_value()) {
         pending.scope = key->text();
     }
-    if (key->owner() == retry::KeyOwner{.daemon = m_surroundings.self, .incarnation = m_surroundings.incarnation}) {
-        own(std::move(pending), *key, now);
+    if (key->owner() == retry::KeyOwner{.daemon = m_context.self, .incarnation = m_context.incarnation}) {
+        handleOwnedKey(std::move(pending), *key, now);
         return;
     }
     forward(std::move(pending), key->owner(), now);
@@ -162,7 +162,7 @@
     return pending.isGranted ? m_grantedLedger : m_ledger;
 }
 
-void EntryHandler::ownUnnamed(Pending pending, const SteadyTime now)
+void EntryHandler::handleUnownedKey(Pending pending, const SteadyTime now)
 {
     const std::uint64_t request = internal::hashOf(pending.call);
     pending.knowledge = retry::KeyKnowledge::owner;
@@ -180,19 +180,19 @@
     answerFinding(std::move(pending), finding, now);
 }
 
-void EntryHandler::own(Pending pending, const retry::RequestKey &key, const SteadyTime now)
+void EntryHandler::handleOwnedKey(Pending pending, const retry::RequestKey &key, const SteadyTime now)
 {
     const std::uint64_t request = internal::hashOf(pending.call);
     pending.knowledge = retry::KeyKnowledge::owner;
     // The table grants a key by its time; what this life has given up it does not run, whatever other daemons still read.
     if (key.uuid().has_value() && !m_grants->owns(*key.uuid())) {
         pending.knowledge = retry::KeyKnowledge::none;
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyOwnerUnknown, "the key was not granted to this daemon"), now);
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, "the key was not granted to this daemon"), now);
         return;
     }
     if (!key.uuid().has_value() && key.age() > ageOf(now)) {
         // Never minted here: entered, it would be the last to be forgotten and close all younger keys before its turn.
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyOwnerUnknown, "the key was not minted by its owner"), now);
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, "the key was not minted by its owner"), now);
         return;
     }
     pending.isGranted = key.uuid().has_value();
@@ -207,10 +207,10 @@
         return;
     }
     // A key whose predecessor still runs is not closed by this refusal, so it might run later.
-    const bool isSpent = ledger.find(key.previous()->text(), key.age(), request).standing == retry::KeyStanding::closed;
-    pending.verdict = isSpent ? Verdict::notRun : Verdict::mayHaveRun;
+    const bool isPreviousClosed = ledger.find(key.previous()->text(), key.age(), request).standing == retry::KeyStanding::closed;
+    pending.verdict = isPreviousClosed ? Verdict::notRun : Verdict::mayHaveRun;
     const std::string rule = "the resends of this request are used up, or the key before this one was not refused as not run";
-    finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::retryBudgetSpent, rule), now);
+    finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::retryBudgetSpent, rule), now);
 }
 
 bool EntryHandler::inheritAttempts(Pending &pending, const retry::RequestKey &key, const std::uint64_t request)
@@ -219,12 +219,12 @@
     if (!previous.has_value()) {
         return true;
     }
-    const retry::KeyFinding before = ledgerOf(pending).find(previous->text(), previous->age(), request);
-    if (before.standing != retry::KeyStanding::closed || before.attemptsLeft <= 0) {
+    const retry::KeyFinding previousFinding = ledgerOf(pending).find(previous->text(), previous->age(), request);
+    if (previousFinding.standing != retry::KeyStanding::closed || previousFinding.attemptsLeft <= 0) {
         return false;
     }
     // A resend by the caller is one more attempt of the same request, paid from what the last one left over.
-    pending.attemptsLeft = std::min(pending.attemptsLeft, before.attemptsLeft - 1);
+    pending.attemptsLeft = std::min(pending.attemptsLeft, previousFinding.attemptsLeft - 1);
     return true;
 }
 
@@ -242,7 +242,7 @@
         join(std::move(pending));
         return;
     case retry::KeyStanding::answered:
-        m_surroundings.metrics.count("key_replays", pending.call.service);
+        m_context.metrics.count("key_replays", pending.call.service);
         finish(std::move(pending), internal::replay(*finding.answer), now);
         return;
     case retry::KeyStanding::closed:
@@ -256,16 +256,16 @@
         pending.verdict = Verdict::mayHaveRun;
         break;
     }
-    finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyAlreadyUsed, internal::ruleOf(finding.standing)), now);
+    finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyAlreadyUsed, internal::ruleOf(finding.standing)), now);
 }
 
 void EntryHandler::forward(Pending pending, const retry::KeyOwner &owner, const SteadyTime now)
 {
-    const membership::Member *const member = m_surroundings.roster.find(owner.daemon);
-    if (member == nullptr || member->incarnation != owner.incarnation || owner.daemon == m_surroundings.self) {
+    const membership::Member *const member = m_context.roster.find(owner.daemon);
+    if (member == nullptr || member->incarnation != owner.incarnation || owner.daemon == m_context.self) {
         // The life that owns the key is the only one that knows what became of it, and the only one that may run it.
         const std::string rule = "the daemon that owns the key has gone, or is not known here";
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
         return;
     }
     pending.phase = Phase::forwarded;
@@ -278,8 +278,8 @@
     request.receiver = owner.incarnation;
     request.forOwner = true;
     const SteadyTime deadline = pending.deadline;
-    keep(request.call, std::move(pending), deadline);
-    m_surroundings.actions.emplace_back(SendToPeer{.to = owner.daemon, .endpoint = member->endpoint, .message = std::move(request)});
+    addPending(request.call, std::move(pending), deadline);
+    m_context.actions.emplace_back(SendToPeer{.to = owner.daemon, .endpoint = member->endpoint, .message = std::move(request)});
 }
 
 void EntryHandler::handleForwarded(const DaemonId &from, const Incarnation incarnation, const protocol::CallRequest &request, const SteadyTime now)
@@ -299,7 +299,7 @@
     pending.rootCosts = request.rootCosts;
     pending.depth = request.depth;
     pending.scope = request.scope;
-    pending.trace = account::childOf(request.trace, m_surroundings.random);
+    pending.trace = account::childOf(request.trace, m_context.random);
     pending.parentSpanId = request.trace.spanId;
     pending.arrived = now;
     pending.deadline = now + request.remaining;
@@ -308,15 +308,15 @@
     if (!key.has_value() && m_grants != nullptr) {
         key = retry::RequestKey::parseUuid(request.key);
     }
-    const retry::KeyOwner self{.daemon = m_surroundings.self, .incarnation = m_surroundings.incarnation};
-    const bool isKnown = m_surroundings.manifest != nullptr && m_surroundings.manifest->findKind(request.service, request.kind) != nullptr;
+    const retry::KeyOwner self{.daemon = m_context.self, .incarnation = m_context.incarnation};
+    const bool isKnown = m_context.manifest != nullptr && m_context.manifest->findKind(request.service, request.kind) != nullptr;
     // The receiver and the owner named by the key are both checked: either alone could be an earlier life of this daemon.
-    if (request.receiver != m_surroundings.incarnation || !key.has_value() || (!key->uuid().has_value() && key->owner() != self) || !isKnown) {
+    if (request.receiver != m_context.incarnation || !key.has_value() || (!key->uuid().has_value() && key->owner() != self) || !isKnown) {
         const std::string rule = "the request was meant for an earlier life of this daemon, or for a kind not declared here";
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
         return;
     }
-    own(std::move(pending), *key, now);
+    handleOwnedKey(std::move(pending), *key, now);
 }
 
 void EntryHandler::handleOwnerAnswer(Pending pending, const protocol::CallAnswer &answer, const SteadyTime now)
@@ -329,7 +329,7 @@
     pending.knowledge = retry::KeyKnowledge::owner;
     pending.verdict = answer.verdict;
     pending.nextKey = answer.nextKey;
-    finishRefused(std::move(pending), answer.refusal.value_or(m_surroundings.refuse(account::RefusalReason::serverLost, "no answer and no reason")), now);
+    finishRefused(std::move(pending), answer.refusal.value_or(m_context.refuse(account::RefusalReason::serverLost, "no answer and no reason")), now);
 }
 
 void EntryHandler::tickGrants(const SteadyTime now)
@@ -339,12 +339,12 @@
         return;
     }
     m_lastGrants = now;
-    m_preferredShards.update(m_surroundings.roster);
-    std::vector<store::Request> requests = m_grants->tick(m_surroundings.clock.wallNow(), now, [this](const int shard) {
+    m_preferredShards.update(m_context.roster);
+    std::vector<store::Request> requests = m_grants->tick(m_context.clock.wallNow(), now, [this](const int shard) {
         return m_preferredShards.contains(shard);
     });
     for (store::Request &request : requests) {
-        const store::RequestId id = m_surroundings.askPlatform(request);
+        const store::RequestId id = m_context.askPlatform(request);
         m_grants->noteAsked(id, request);
     }
 }
@@ -360,7 +360,7 @@
     const CallId call{++m_lastCall};
     m_joined[pending.call.key].push_back(call);
     const SteadyTime deadline = pending.deadline;
-    keep(call, std::move(pending), deadline);
+    addPending(call, std::move(pending), deadline);
 }
 
 void EntryHandler::releaseKey(const Pending &pending, CallerAnswer &answer)
@@ -383,7 +383,7 @@
     for (const CallId call : calls) {
         const auto pending = m_pending.find(call);
         if (pending != m_pending.end()) {
-            finish(take(pending), answer, now);
+            finish(removePending(pending), answer, now);
         }
     }
 }
--- a/src/egretlatch/decision/serving_handler.cpp
+++ b/src/egretlatch/decision/serving_handler.cpp
@@ -14,7 +14,7 @@
 
 constexpr int firstServerError = 500;
 // Chains change with releases, so telling one with each answer would only cost bytes.
-constexpr std::uint64_t answersPerChain = 8;
+constexpr std::uint64_t answersPerChainReport = 8;
 
 [[nodiscard]] static admission::RunOutcome outcomeOf(const std::variant<RunAnswer, RunFailure> &result)
 {
@@ -24,30 +24,30 @@
     return std::get<RunFailure>(result) == RunFailure::rejected ? admission::RunOutcome::rejected : admission::RunOutcome::lost;
 }
 
-[[nodiscard]] static protocol::CallAnswer answerOf(const std::variant<RunAnswer, RunFailure> &result, Surroundings &surroundings)
+[[nodiscard]] static protocol::CallAnswer answerOf(const std::variant<RunAnswer, RunFailure> &result, CoreContext &context)
 {
     protocol::CallAnswer answer;
-    if (const auto *const given = std::get_if<RunAnswer>(&result)) {
+    if (const auto *const runAnswer = std::get_if<RunAnswer>(&result)) {
         answer.verdict = retry::verdictOf(retry::AttemptEnd::answered);
-        answer.status = given->status;
-        answer.headers = given->headers;
-        answer.body = given->body;
+        answer.status = runAnswer->status;
+        answer.headers = runAnswer->headers;
+        answer.body = runAnswer->body;
         return answer;
     }
     switch (std::get<RunFailure>(result)) {
     case RunFailure::neverConnected:
         answer.verdict = retry::verdictOf(retry::AttemptEnd::neverConnected);
-        answer.refusal = surroundings.refuse(account::RefusalReason::serverLost, "the backend server took no connection");
+        answer.refusal = context.refuse(account::RefusalReason::serverLost, "the backend server took no connection");
         break;
     case RunFailure::rejected:
         answer.hasReachedServer = true;
         answer.verdict = retry::verdictOf(retry::AttemptEnd::rejectedByServer);
-        answer.refusal = surroundings.refuse(account::RefusalReason::overloadAtServer, "the backend server said that it did not start the request");
+        answer.refusal = context.refuse(account::RefusalReason::overloadAtServer, "the backend server said that it did not start the request");
         break;
     case RunFailure::lost:
         answer.hasReachedServer = true;
         answer.verdict = retry::verdictOf(retry::AttemptEnd::connectionLost);
-        answer.refusal = surroundings.refuse(account::RefusalReason::serverLost, "the connection to the backend server was lost before it answered");
+        answer.refusal = context.refuse(account::RefusalReason::serverLost, "the connection to the backend server was lost before it answered");
         break;
     }
     answer.status = account::httpStatus(answer.refusal->reason);
@@ -56,8 +56,8 @@
 
 } // namespace internal
 
-ServingHandler::ServingHandler(Surroundings &surroundings, std::unique_ptr<admission::Gate> gate)
-    : m_surroundings{surroundings}
+ServingHandler::ServingHandler(CoreContext &context, std::unique_ptr<admission::Gate> gate)
+    : m_context{context}
     , m_gate{std::move(gate)}
 {
 }
@@ -67,29 +67,30 @@
     const Origin origin{from, incarnation, request.call};
     // A daemon restarted under the same id gets what its peers' transport still held for its former life, which may have
     // run the same message already. A request names the life it is meant for, and no other life runs it.
-    if (request.receiver != m_surroundings.incarnation) {
-        refuseStranger(origin, now);
+    if (request.receiver != m_context.incarnation) {
+        refuseWrongIncarnation(origin, now);
         return;
     }
     // A transport that delivers a message twice would start a request twice, or start one that was refused as not run.
     // The second copy names the same call of the same incarnation, so it is told from a retry, which has a call id of its
     // own. It stands before all refusals: a call id that was refused is spent.
     if (!m_window.pass(from, incarnation, request.call)) {
-        m_surroundings.metrics.count("messages_dropped", "duplicate-request");
+        m_context.metrics.count("messages_dropped", "duplicate-request");
         return;
     }
     if (!m_hasServer) {
-        refuseAtOnce(origin,
-                     request,
-                     {.execution = {}, .reason = account::RefusalReason::noServer, .rule = "no backend server is here", .figures = {}, .retryAfter = {}},
-                     now);
+        refuseImmediately(origin,
+                          request,
+                          {.execution = {}, .reason = account::RefusalReason::noServer, .rule = "no backend server is here", .figures = {}, .retryAfter = {}},
+                          now);
         return;
     }
     if (m_isDraining) {
-        refuseAtOnce(origin,
-                     request,
-                     {.execution = {}, .reason = account::RefusalReason::draining, .rule = "the backend server is leaving", .figures = {}, .retryAfter = {}},
-                     now);
+        refuseImmediately(
+            origin,
+            request,
+            {.execution = {}, .reason = account::RefusalReason::draining, .rule = "the backend server is leaving", .figures = {}, .retryAfter = {}},
+            now);
         return;
     }
     const ExecutionId execution{++m_lastExecution};
@@ -97,7 +98,7 @@
     attempt.origin = origin;
     attempt.request = request;
     if (!request.trace.traceId.empty()) {
-        attempt.trace = account::childOf(request.trace, m_surroundings.random);
+        attempt.trace = account::childOf(request.trace, m_context.random);
     }
     attempt.arrived = now;
     attempt.deadline = now + request.remaining;
@@ -115,13 +116,13 @@
 admission::Ticket ServingHandler::ticketOf(const ExecutionId execution, const Attempt &attempt) const
 {
     const protocol::CallRequest &request = attempt.request;
-    const manifest::KindSpec *const kind = m_surroundings.findKind(request.service, request.kind);
+    const manifest::KindSpec *const kind = m_context.findKind(request.service, request.kind);
     return {
         .execution = execution,
         .root = request.root,
         .kind = request.kind,
         .cost = kind == nullptr ? Duration{} : Duration{kind->cost},
-        .rankClass = m_surroundings.entryControl->classAt(request.service, request.kind, request.rank, request.rootCosts),
+        .rankClass = m_context.entryControl->classAt(request.service, request.kind, request.rank, request.rootCosts),
         .invested = request.rank.invested,
         .isInner = request.depth > 0,
         .arrived = attempt.arrived,
@@ -133,7 +134,7 @@
 {
     const auto found = m_byOrigin.find({from, incarnation, call});
     if (found == m_byOrigin.end()) {
-        m_surroundings.metrics.count("messages_dropped", "late-cancel");
+        m_context.metrics.count("messages_dropped", "late-cancel");
         return;
     }
     abandon(found->second, account::RefusalReason::cancelled, now);
@@ -143,7 +144,7 @@
 {
     const auto found = m_attempts.find(ended.execution);
     if (found == m_attempts.end() || !found->second.started.has_value()) {
-        m_surroundings.metrics.count("messages_dropped", "late-run-end");
+        m_context.metrics.count("messages_dropped", "late-run-end");
         return;
     }
     const Attempt &attempt = found->second;
@@ -152,11 +153,11 @@
         .latency = now - *attempt.started,
         .waitedForInner = attempt.innerWait,
     };
-    m_surroundings.metrics.observe("run_duration", attempt.request.service, observation.latency);
-    learn(attempt, ended, now);
-    watchForCrash(attempt, ended, now);
+    m_context.metrics.observe("run_duration", attempt.request.service, observation.latency);
+    recordOutcome(attempt, ended, now);
+    detectCrash(attempt, ended, now);
     const admission::GateRelease release = m_gate->finish(ended.execution, observation, now);
-    answer(ended.execution, internal::answerOf(ended.result, m_surroundings), now);
+    answer(ended.execution, internal::answerOf(ended.result, m_context), now);
     apply(release, now);
 }
 
@@ -202,7 +203,7 @@
     }
 }
 
-void ServingHandler::learn(const Attempt &attempt, const RunEnded &ended, const SteadyTime now)
+void ServingHandler::recordOutcome(const Attempt &attempt, const RunEnded &ended, const SteadyTime now)
 {
     const admission::RunOutcome outcome = internal::outcomeOf(ended.result);
     if (outcome != admission::RunOutcome::succeeded && !attempt.hasFailedBelow) {
@@ -211,7 +212,7 @@
     // A run that failed may have ended before it made all its calls.
     if (outcome == admission::RunOutcome::succeeded) {
         m_paces.noteEnded(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
-        m_surroundings.entryControl->noteRun({
+        m_context.entryControl->noteRun({
             .kind = {attempt.request.service, attempt.request.kind},
             .calls = attempt.innerCalls,
             .held = now - *attempt.started,
@@ -242,9 +243,9 @@
     attempt.started = now;
     --m_waiting;
     const protocol::CallRequest &request = attempt.request;
-    const manifest::KindSpec *const kind = m_surroundings.findKind(request.service, request.kind);
-    m_surroundings.metrics.observe("queue_delay", request.service, now - attempt.arrived);
-    m_surroundings.actions.emplace_back(StartRun{
+    const manifest::KindSpec *const kind = m_context.findKind(request.service, request.kind);
+    m_context.metrics.observe("queue_delay", request.service, now - attempt.arrived);
+    m_context.actions.emplace_back(StartRun{
         .execution = execution,
         .request = {.method = request.method,
                     .path = request.path,
@@ -264,8 +265,8 @@
     const auto found = m_attempts.find(execution);
     const Attempt &attempt = found->second;
     answer.attemptsReturned = attempt.attemptsLeft;
-    if (m_answers++ % internal::answersPerChain == 0) {
-        answer.chain = m_surroundings.entryControl->learnedChain({attempt.request.service, attempt.request.kind});
+    if (m_answers++ % internal::answersPerChainReport == 0) {
+        answer.chain = m_context.entryControl->learnedChain({attempt.request.service, attempt.request.kind});
     }
     answer.pace = m_paces.paceAt(attempt.request.kind, now);
     answer.slotTime = attempt.innerSlotTime;
@@ -290,27 +291,27 @@
 {
     protocol::CallAnswer refused;
     refused.verdict = retry::verdictOf(retry::AttemptEnd::leftQueue);
-    refused.refusal = m_surroundings.refuse(refusal.reason, refusal.rule, refusal.figures, refusal.retryAfter);
+    refused.refusal = m_context.refuse(refusal.reason, refusal.rule, refusal.figures, refusal.retryAfter);
     refused.status = account::httpStatus(refusal.reason);
     answer(execution, std::move(refused), now);
 }
 
-void ServingHandler::refuseAtOnce(const Origin &origin, const protocol::CallRequest &request, const admission::GateRefusal &refusal, const SteadyTime now)
+void ServingHandler::refuseImmediately(const Origin &origin, const protocol::CallRequest &request, const admission::GateRefusal &refusal, const SteadyTime now)
 {
     protocol::CallAnswer refused;
     refused.verdict = retry::verdictOf(retry::AttemptEnd::refusedAtDoor);
-    refused.refusal = m_surroundings.refuse(refusal.reason, refusal.rule, refusal.figures, refusal.retryAfter);
+    refused.refusal = m_context.refuse(refusal.reason, refusal.rule, refusal.figures, refusal.retryAfter);
     refused.status = account::httpStatus(refusal.reason);
     refused.attemptsReturned = request.attemptsLent;
     send(origin, std::move(refused), now);
 }
 
-void ServingHandler::refuseStranger(const Origin &origin, const SteadyTime now)
+void ServingHandler::refuseWrongIncarnation(const Origin &origin, const SteadyTime now)
 {
     protocol::CallAnswer refused;
-    const bool isUnheard = m_surroundings.delivery == Delivery::oneLife;
-    refused.verdict = retry::verdictOf(isUnheard ? retry::AttemptEnd::missedEarlierLife : retry::AttemptEnd::meantForEarlierLife);
-    refused.refusal = m_surroundings.refuse(account::RefusalReason::serverLost, "the request was meant for an earlier life of this daemon");
+    const bool isDeliveredOnce = m_context.delivery == Delivery::oneIncarnation;
+    refused.verdict = retry::verdictOf(isDeliveredOnce ? retry::AttemptEnd::missedEarlierLife : retry::AttemptEnd::meantForEarlierLife);
+    refused.refusal = m_context.refuse(account::RefusalReason::serverLost, "the request was meant for an earlier life of this daemon");
     refused.status = account::httpStatus(refused.refusal->reason);
     send(origin, std::move(refused), now);
 }
@@ -321,11 +322,11 @@
     answer.call = call;
     answer.receiver = incarnation;
     answer.load = load(now);
-    for (const admission::ServiceNews &news : m_surroundings.entryControl->levelsBelow(m_surroundings.roster.self().service, now)) {
+    for (const admission::ServiceNews &news : m_context.entryControl->levelsBelow(m_context.roster.self().service, now)) {
         answer.levels.push_back({.service = news.service, .level = news.noted.level, .age = now - news.noted.at});
     }
     // The way back is the connection that the request came by, so an unknown endpoint does not matter.
-    m_surroundings.actions.emplace_back(SendToPeer{.to = daemon, .endpoint = {}, .message = std::move(answer)});
+    m_context.actions.emplace_back(SendToPeer{.to = daemon, .endpoint = {}, .message = std::move(answer)});
 }
 
 void ServingHandler::recordSpan(const Attempt &attempt, const protocol::CallAnswer &answer, const SteadyTime now)
@@ -346,7 +347,7 @@
     if (answer.refusal.has_value()) {
         span.refusal = answer.refusal->reason;
     }
-    m_surroundings.actions.emplace_back(RecordSpan{.span = std::move(span)});
+    m_context.actions.emplace_back(RecordSpan{.span = std::move(span)});
 }
 
 void ServingHandler::abandonExpired(const SteadyTime now)
@@ -370,7 +371,7 @@
     const Attempt &attempt = m_attempts.at(execution);
     protocol::CallAnswer abandoned;
     const bool isLeaving = reason == account::RefusalReason::draining;
-    abandoned.refusal = m_surroundings.refuse(reason, isLeaving ? "the backend server is leaving" : "nobody waits for the answer any more");
+    abandoned.refusal = m_context.refuse(reason, isLeaving ? "the backend server is leaving" : "nobody waits for the answer any more");
     abandoned.status = account::httpStatus(abandoned.refusal->reason);
     if (!attempt.started.has_value()) {
         abandoned.verdict = retry::verdictOf(m_gate->withdraw(execution) ? retry::AttemptEnd::leftQueue : retry::AttemptEnd::aborted);
@@ -379,7 +380,7 @@
     }
     abandoned.verdict = retry::verdictOf(retry::AttemptEnd::aborted);
     m_paces.noteCutShort(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
-    m_surroundings.actions.emplace_back(AbortRun{.execution = execution});
+    m_context.actions.emplace_back(AbortRun{.execution = execution});
     const admission::Observation observation{
         .outcome = admission::RunOutcome::abandoned, .latency = now - *attempt.started, .waitedForInner = attempt.innerWait};
     const admission::GateRelease release = m_gate->finish(execution, observation, now);
--- a/src/egretlatch/decision/serving_handler.hpp
+++ b/src/egretlatch/decision/serving_handler.hpp
@@ -9,10 +9,10 @@
 
 #include <egretlatch/admission/gate.hpp>
 #include <egretlatch/admission/pace_meter.hpp>
-#include <egretlatch/decision/crash_news.hpp>
-#include <egretlatch/decision/crash_witness.hpp>
+#include <egretlatch/decision/core_context.hpp>
+#include <egretlatch/decision/crash_detector.hpp>
+#include <egretlatch/decision/crash_report.hpp>
 #include <egretlatch/decision/event.hpp>
-#include <egretlatch/decision/surroundings.hpp>
 #include <egretlatch/protocol/messages.hpp>
 #include <egretlatch/retry/call_window.hpp>
 
@@ -36,7 +36,7 @@
 };
 
 /*! @brief How an inner call ended, as far as the run that made it is concerned. */
-struct InnerEnd
+struct InnerCallResult
 {
     /*! @brief Attempts that were not spent. */
     int attempts{};
@@ -55,7 +55,7 @@
      * @param surroundings What it shares with the rest of the core; must outlive it.
      * @param gate Decides what runs, and when.
      */
-    ServingHandler(Surroundings &surroundings, std::unique_ptr<admission::Gate> gate);
+    ServingHandler(CoreContext &context, std::unique_ptr<admission::Gate> gate);
 
     /**
      * @brief Takes an attempt.
@@ -152,9 +152,9 @@
      * @brief Takes what other daemons should hear of requests that crash servers.
      * @return What is new since the last call.
      */
-    [[nodiscard]] std::vector<CrashNews> takeCrashNews()
+    [[nodiscard]] std::vector<CrashReport> takeCrashReports()
     {
-        return std::exchange(m_crashNews, {});
+        return std::exchange(m_crashReports, {});
     }
 
     /**
@@ -175,7 +175,7 @@
      * @param execution The run that made it; may have ended.
      * @param end How it ended.
      */
-    void noteInnerEnded(ExecutionId execution, const InnerEnd &end, SteadyTime now);
+    void noteInnerEnded(ExecutionId execution, const InnerCallResult &end, SteadyTime now);
 
     [[nodiscard]] bool hasWaiting() const noexcept
     {
@@ -206,8 +206,8 @@
         SteadyTime deadline;
         std::optional<SteadyTime> started;
         int attemptsLeft{};
-        int innerOpen{};
-        SteadyTime innerSince;
+        int openInnerCalls{};
+        SteadyTime innerWaitSince;
         Duration innerWait{};
         Duration innerSlotTime{};
         bool hasFailedBelow{};
@@ -220,30 +220,30 @@
     void start(ExecutionId execution, SteadyTime now);
     void answer(ExecutionId execution, protocol::CallAnswer answer, SteadyTime now);
     void refuse(ExecutionId execution, const admission::GateRefusal &refusal, SteadyTime now);
-    void refuseAtOnce(const Origin &origin, const protocol::CallRequest &request, const admission::GateRefusal &refusal, SteadyTime now);
-    void refuseStranger(const Origin &origin, SteadyTime now);
+    void refuseImmediately(const Origin &origin, const protocol::CallRequest &request, const admission::GateRefusal &refusal, SteadyTime now);
+    void refuseWrongIncarnation(const Origin &origin, SteadyTime now);
     void send(const Origin &origin, protocol::CallAnswer answer, SteadyTime now);
     [[nodiscard]] admission::Ticket ticketOf(ExecutionId execution, const Attempt &attempt) const;
     void recordSpan(const Attempt &attempt, const protocol::CallAnswer &answer, SteadyTime now);
     void abandonExpired(SteadyTime now);
     void abandon(ExecutionId execution, account::RefusalReason reason, SteadyTime now);
-    void learn(const Attempt &attempt, const RunEnded &ended, SteadyTime now);
-    void tellCrash(const std::vector<admission::RequestFingerprint> &running);
+    void recordOutcome(const Attempt &attempt, const RunEnded &ended, SteadyTime now);
+    void recordCrash(const std::vector<admission::RequestFingerprint> &running);
     void clearIfSuspect(const Attempt &attempt);
-    void watchForCrash(const Attempt &attempt, const RunEnded &ended, SteadyTime now);
+    void detectCrash(const Attempt &attempt, const RunEnded &ended, SteadyTime now);
     [[nodiscard]] admission::RequestFingerprint fingerprint(const Attempt &attempt) const;
     [[nodiscard]] std::string tokenOf(ExecutionId execution) const;
 
-    Surroundings &m_surroundings;
+    CoreContext &m_context;
     std::unique_ptr<admission::Gate> m_gate;
     std::map<ExecutionId, Attempt> m_attempts;
     std::map<Origin, ExecutionId> m_byOrigin;
     std::map<std::string, ExecutionId> m_byName;
     retry::CallWindow m_window;
     admission::PaceMeter m_paces;
-    CrashWitness m_witness;
-    std::vector<CrashNews> m_crashNews;
-    std::uint64_t m_lastCrashNews{};
+    CrashDetector m_crashDetector;
+    std::vector<CrashReport> m_crashReports;
+    std::uint64_t m_lastCrashReport{};
     std::uint64_t m_lastExecution{};
     std::uint64_t m_answers{};
     /*! @brief Attempts that have not been started. */
--- a/src/egretlatch/decision/serving_runs.cpp
+++ b/src/egretlatch/decision/serving_runs.cpp
@@ -35,7 +35,7 @@
     }
     const Attempt &attempt = found->second;
     admission::Rank rank = attempt.request.rank;
-    rank.invested += m_surroundings.clock.steadyNow() - *attempt.started;
+    rank.invested += m_context.clock.steadyNow() - *attempt.started;
     return InnerContext{
         .execution = execution,
         .root = attempt.request.root,
@@ -58,10 +58,10 @@
     Attempt &attempt = found->second;
     const int lent = (attempt.attemptsLeft + 1) / 2;
     attempt.attemptsLeft -= lent;
-    if (attempt.innerOpen == 0) {
-        attempt.innerSince = m_surroundings.clock.steadyNow();
+    if (attempt.openInnerCalls == 0) {
+        attempt.innerWaitSince = m_context.clock.steadyNow();
     }
-    ++attempt.innerOpen;
+    ++attempt.openInnerCalls;
     return lent;
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-void ServingHandler::noteInnerEnded(const ExecutionId execution, const InnerEnd &end, const SteadyTime now)
+void ServingHandler::noteInnerEnded(const ExecutionId execution, const InnerCallResult &end, const SteadyTime now)
 {
     const auto found = m_attempts.find(execution);
     if (found == m_attempts.end()) {
@@ -89,18 +89,18 @@
     attempt.attemptsLeft += end.attempts;
     attempt.innerSlotTime += end.slotTime;
     attempt.hasFailedBelow = attempt.hasFailedBelow || end.hasFailed;
-    --attempt.innerOpen;
-    if (attempt.innerOpen == 0) {
-        attempt.innerWait += now - attempt.innerSince;
+    --attempt.openInnerCalls;
+    if (attempt.openInnerCalls == 0) {
+        attempt.innerWait += now - attempt.innerWaitSince;
     }
 }
 
 std::string ServingHandler::tokenOf(const ExecutionId execution) const
 {
-    return fmt::format("{:016x}-{:x}", m_surroundings.incarnation.value, execution.value);
+    return fmt::format("{:016x}-{:x}", m_context.incarnation.value, execution.value);
 }
 
-void ServingHandler::watchForCrash(const Attempt &attempt, const RunEnded &ended, const SteadyTime now)
+void ServingHandler::detectCrash(const Attempt &attempt, const RunEnded &ended, const SteadyTime now)
 {
     if (std::holds_alternative<RunAnswer>(ended.result)) {
         clearIfSuspect(attempt);
@@ -108,10 +108,10 @@
     }
     switch (std::get<RunFailure>(ended.result)) {
     case RunFailure::lost:
-        m_witness.noteLost(fingerprint(attempt), now);
+        m_crashDetector.noteLostRun(fingerprint(attempt), now);
         return;
     case RunFailure::neverConnected:
-        tellCrash(m_witness.noteNeverConnected(now));
+        recordCrash(m_crashDetector.noteConnectFailure(now));
         return;
     case RunFailure::rejected:
         return;
@@ -121,26 +121,26 @@
 void ServingHandler::clearIfSuspect(const Attempt &attempt)
 {
     // Fingerprints are made only while there are suspects, which is hardly ever.
-    if (m_surroundings.suspects.isEmpty()) {
+    if (m_context.suspects.isEmpty()) {
         return;
     }
     const admission::RequestFingerprint request = fingerprint(attempt);
-    if (m_surroundings.suspects.noteGood(request)) {
-        m_crashNews.push_back(CrashNews::ranWell(m_surroundings.self, m_surroundings.incarnation, ++m_lastCrashNews, request));
+    if (m_context.suspects.noteGood(request)) {
+        m_crashReports.push_back(CrashReport::forSuccess(m_context.self, m_context.incarnation, ++m_lastCrashReport, request));
     }
 }
 
 void ServingHandler::noteServerReplaced(const SteadyTime now)
 {
     m_paces.clear();
-    tellCrash(m_witness.noteReplaced(now));
+    recordCrash(m_crashDetector.noteReplacement(now));
 }
 
-void ServingHandler::tellCrash(const std::vector<admission::RequestFingerprint> &running)
+void ServingHandler::recordCrash(const std::vector<admission::RequestFingerprint> &running)
 {
     if (!running.empty()) {
-        m_surroundings.metrics.count("server_crashes", m_surroundings.roster.self().service);
-        m_crashNews.push_back(CrashNews::crashed(m_surroundings.self, m_surroundings.incarnation, ++m_lastCrashNews, running));
+        m_context.metrics.count("server_crashes", m_context.roster.self().service);
+        m_crashReports.push_back(CrashReport::forCrash(m_context.self, m_context.incarnation, ++m_lastCrashReport, running));
     }
 }
 
@@ -148,7 +148,7 @@
 {
     const protocol::CallRequest &request = attempt.request;
     const DaemonId &from = std::get<DaemonId>(attempt.origin);
-    const membership::Member *const member = from == m_surroundings.self ? &m_surroundings.roster.self() : m_surroundings.roster.find(from);
+    const membership::Member *const member = from == m_context.self ? &m_context.roster.self() : m_context.roster.find(from);
     const std::string caller = member == nullptr ? std::string{} : member->service;
     return admission::fingerprintOf(request.method, request.path, caller, {request.body.constData(), static_cast<std::size_t>(request.body.size())});
 }
--- a/src/egretlatch/sidecar/request_log.cpp
+++ b/src/egretlatch/sidecar/request_log.cpp
@@ -23,7 +23,7 @@
                    {"configuration", record.refusal.configurationVersion}});
 }
 
-void RequestLog::write(const decision::NoteRequest &note) const
+void RequestLog::write(const decision::LogRequest &note) const
 {
     m_logger.info(note.what,
                   {{"request", note.requestName},
--- a/test/egretlatch/decision/configuration_spread.cpp
+++ b/test/egretlatch/decision/configuration_spread.cpp
@@ -36,15 +36,15 @@
     }
     static_cast<void>(core->handle(PeerMessage{.envelope = {.sender = {"other-0"}, .incarnation = {1}, .message = gossip}}));
 
-    std::set<DaemonId> told;
+    std::set<DaemonId> recipients;
     for (const Action &action : core->handle(ManifestAccepted{.version = 7, .document = R"({"services":[]})"})) {
         const auto *const send = std::get_if<SendToPeer>(&action);
         if (send != nullptr && std::holds_alternative<configuration::Advert>(send->message)) {
             CHECK(std::get<configuration::Advert>(send->message).version == 7);
-            told.insert(send->to);
+            recipients.insert(send->to);
         }
     }
-    CHECK(told.size() == others);
+    CHECK(recipients.size() == others);
 }
 
 TEST_CASE("a peer that does not send its configuration costs a fed daemon a fraction of a second")
--- a/test/egretlatch/decision/core.cpp
+++ b/test/egretlatch/decision/core.cpp
@@ -15,8 +15,8 @@
 {
 
 constexpr std::uint64_t seed = 1;
-constexpr Incarnation selfLife{100};
-constexpr Incarnation peerLife{200};
+constexpr Incarnation selfIncarnation{100};
+constexpr Incarnation peerIncarnation{200};
 
 [[nodiscard]] std::shared_ptr<const manifest::Manifest> rosterManifest()
 {
@@ -34,15 +34,15 @@
     {
         membership::Member self;
         self.id = {"entry"};
-        self.incarnation = selfLife;
+        self.incarnation = selfIncarnation;
         core = CoreBuilder{clock, random, metrics}.setSelf(self).setUnownedKeys(retry::UnownedKeys::entryMemory).build();
         static_cast<void>(core->handle(ManifestChanged{.version = 1, .manifest = rosterManifest()}));
-        static_cast<void>(handleFrom("left", fakes::rosterNews({"left", "right"}, peerLife)));
+        static_cast<void>(handleFrom("left", fakes::rosterNews({"left", "right"}, peerIncarnation)));
     }
 
     Actions handleFrom(const std::string &sender, const protocol::Message &message)
     {
-        return core->handle(PeerMessage{.envelope = {.sender = {sender}, .incarnation = peerLife, .message = message}});
+        return core->handle(PeerMessage{.envelope = {.sender = {sender}, .incarnation = peerIncarnation, .message = message}});
     }
 
     // Starts a call and gives the attempt that left for a serving daemon.
@@ -67,7 +67,7 @@
     {
         protocol::CallAnswer answer;
         answer.call = std::get<protocol::CallRequest>(sent.message).call;
-        answer.receiver = selfLife;
+        answer.receiver = selfIncarnation;
         answer.verdict = Verdict::completed;
         answer.status = 200;
         answer.body = body;
@@ -127,7 +127,7 @@
     EntryFixture entry;
     const SendToPeer sent = entry.arrive(1);
     protocol::CallAnswer answer = EntryFixture::answerTo(sent, "another's");
-    answer.receiver = Incarnation{selfLife.value - 1};
+    answer.receiver = Incarnation{selfIncarnation.value - 1};
 
     CHECK(EntryFixture::callerAnswer(entry.handleFrom(sent.to.value, answer)) == nullptr);
 }
@@ -207,7 +207,7 @@
     static_cast<void>(daemon.core->handle(ServerAnnounced{.service = "launch", .slots = 2, .connections = 10, .instance = {}}));
     protocol::CallRequest request;
     request.call = {1};
-    request.receiver = selfLife;
+    request.receiver = selfIncarnation;
     request.service = "launch";
     request.kind = "read";
     request.remaining = std::chrono::seconds{1};
--- a/test/egretlatch/decision/entry_rules.cpp
+++ b/test/egretlatch/decision/entry_rules.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-constexpr Incarnation selfLife{100};
-constexpr Incarnation peerLife{200};
+constexpr Incarnation selfIncarnation{100};
+constexpr Incarnation peerIncarnation{200};
 constexpr double slack = 40.0;
 
 [[nodiscard]] std::shared_ptr<const manifest::Manifest> rosterManifest()
@@ -34,21 +34,21 @@
     {
         membership::Member self;
         self.id = {"entry"};
-        self.incarnation = selfLife;
+        self.incarnation = selfIncarnation;
         core = CoreBuilder{clock, random, metrics}
                    .setSelf(self)
                    .setUnownedKeys(retry::UnownedKeys::notNeeded)
                    .setEntryRules({.countsOnlyArrivals = true, .retrySlack = slack, .traces = false})
                    .build();
         static_cast<void>(core->handle(ManifestChanged{.version = 1, .manifest = rosterManifest()}));
-        static_cast<void>(handleFrom({"left"}, fakes::rosterNews({"left", "middle", "right"}, peerLife)));
+        static_cast<void>(handleFrom({"left"}, fakes::rosterNews({"left", "middle", "right"}, peerIncarnation)));
         // The part of the fleet's slack that is this daemon's is known from then on.
         static_cast<void>(core->handle(Tick{}));
     }
 
     Actions handleFrom(const DaemonId &sender, const protocol::Message &message)
     {
-        return core->handle(PeerMessage{.envelope = {.sender = sender, .incarnation = peerLife, .message = message}});
+        return core->handle(PeerMessage{.envelope = {.sender = sender, .incarnation = peerIncarnation, .message = message}});
     }
 
     Actions arrive(const std::string &kind)
@@ -65,7 +65,7 @@
     {
         protocol::CallAnswer answer = given;
         answer.call = std::get<protocol::CallRequest>(sent.message).call;
-        answer.receiver = selfLife;
+        answer.receiver = selfIncarnation;
         return handleFrom(sent.to, answer);
     }
 
@@ -189,17 +189,17 @@
 {
 
 // A daemon whose server has one slot, and leaves.
-struct LeavingServer
+struct DrainingServer
 {
-    LeavingServer()
+    DrainingServer()
     {
         membership::Member self;
         self.id = {"server"};
-        self.incarnation = selfLife;
+        self.incarnation = selfIncarnation;
         core = CoreBuilder{clock, random, metrics}
                    .setSelf(self)
                    .setUnownedKeys(retry::UnownedKeys::notNeeded)
-                   .setDoorTimes({.afterReport = 800ms, .afterSignal = 1500ms, .lastStart = 1600ms})
+                   .setDrainTimes({.afterReport = 800ms, .afterSignal = 1500ms, .lastStart = 1600ms})
                    .build();
         static_cast<void>(core->handle(ManifestChanged{.version = 1, .manifest = rosterManifest()}));
         static_cast<void>(core->handle(ServerAnnounced{.service = "roster", .slots = 1, .connections = 10, .instance = "i"}));
@@ -212,11 +212,11 @@
         request.service = "roster";
         request.kind = "read";
         request.remaining = 10s;
-        request.receiver = selfLife;
-        return core->handle(PeerMessage{.envelope = {.sender = {"entry"}, .incarnation = peerLife, .message = request}});
+        request.receiver = selfIncarnation;
+        return core->handle(PeerMessage{.envelope = {.sender = {"entry"}, .incarnation = peerIncarnation, .message = request}});
     }
 
-    void pass(const Duration span)
+    void advance(const Duration span)
     {
         clock.advance(span);
         static_cast<void>(core->handle(Tick{}));
@@ -253,28 +253,28 @@
 {
     // A service whose last server leaves refuses all its callers seconds before the server has to stop. Its daemon closed
     // the door with the first word of it.
-    LeavingServer server;
+    DrainingServer server;
     static_cast<void>(server.core->handle(ServerDraining{}));
-    server.pass(700ms);
+    server.advance(700ms);
     const Actions taken = server.offer();
-    REQUIRE(LeavingServer::startsIn(taken) == 1);
+    REQUIRE(DrainingServer::startsIn(taken) == 1);
     static_cast<void>(server.offer());
-    server.pass(100ms);
-    CHECK(LeavingServer::startsIn(server.offer()) == 0);
+    server.advance(100ms);
+    CHECK(DrainingServer::startsIn(server.offer()) == 0);
     // What waited for the one slot is not started after the last start, also when the slot falls free.
-    server.pass(800ms);
-    CHECK(LeavingServer::startsIn(server.end(taken)) == 0);
+    server.advance(800ms);
+    CHECK(DrainingServer::startsIn(server.end(taken)) == 0);
 }
 
 TEST_CASE("a daemon that stood still starts nothing, on waking, at a server that has left meanwhile")
 {
-    LeavingServer server;
+    DrainingServer server;
     const Actions taken = server.offer();
     static_cast<void>(server.offer());
     static_cast<void>(server.core->handle(ServerDraining{}));
     server.clock.advance(3s);
-    CHECK(LeavingServer::startsIn(server.end(taken)) == 0);
-    CHECK(LeavingServer::startsIn(server.offer()) == 0);
+    CHECK(DrainingServer::startsIn(server.end(taken)) == 0);
+    CHECK(DrainingServer::startsIn(server.offer()) == 0);
 }
 
 TEST_CASE("a repeat is told of as one, and so is each call of a run that repeats one")
@@ -291,7 +291,7 @@
 
     static_cast<void>(fixture.core->handle(ServerAnnounced{.service = "roster", .slots = 4, .connections = 4, .instance = "i"}));
     protocol::CallRequest run = std::get<protocol::CallRequest>(attempt.message);
-    run.receiver = selfLife;
+    run.receiver = selfIncarnation;
     run.isRepeat = true;
     const Actions started = fixture.handleFrom({"left"}, run);
     const auto start = std::find_if(started.begin(), started.end(), [](const Action &action) {
--- a/test/egretlatch/decision/membership.cpp
+++ b/test/egretlatch/decision/membership.cpp
@@ -16,7 +16,7 @@
 {
 
 constexpr std::uint64_t seed = 1;
-constexpr Incarnation peerLife{200};
+constexpr Incarnation peerIncarnation{200};
 
 [[nodiscard]] std::shared_ptr<const manifest::Manifest> rosterManifest(const int retryBudget)
 {
@@ -47,18 +47,18 @@
     }
 
     // Lets the other daemon say that its server takes work.
-    void meetOther(const std::string &id = "other")
+    void addPeer(const std::string &id = "other")
     {
         membership::Member other;
         other.id = {id};
-        other.incarnation = peerLife;
+        other.incarnation = peerIncarnation;
         other.state = MemberState::serving;
         other.service = "roster";
         other.slots = 2;
         other.endpoint = "tcp://other";
         protocol::Gossip gossip;
         gossip.members = {other};
-        static_cast<void>(core->handle(PeerMessage{.envelope = {.sender = other.id, .incarnation = peerLife, .message = gossip}}));
+        static_cast<void>(core->handle(PeerMessage{.envelope = {.sender = other.id, .incarnation = peerIncarnation, .message = gossip}}));
     }
 
     void announce(const std::string &instance = {})
@@ -67,13 +67,13 @@
     }
 
     // Lets time pass in steps, with announcements if there is a server.
-    Actions pass(const Duration span, const bool announces)
+    Actions advance(const Duration span, const bool keepsAnnouncing)
     {
         constexpr std::chrono::milliseconds step{500};
         Actions all;
         for (Duration passed{}; passed < span; passed += step) {
             clock.advance(step);
-            if (announces) {
+            if (keepsAnnouncing) {
                 announce();
             }
             for (Action &action : core->handle(Tick{})) {
@@ -121,7 +121,7 @@
 {
     // A caller waits its whole deadline for a daemon whose VM failed. No answer can come once the connection is lost.
     DaemonFixture daemon;
-    daemon.meetOther();
+    daemon.addPeer();
     REQUIRE(DaemonFixture::find<SendToPeer>(daemon.arrive(1)) != nullptr);
 
     CHECK(DaemonFixture::find<AnswerCaller>(daemon.core->handle(PeerLost{.daemon = {"third"}, .wasConnected = true})) == nullptr);
@@ -137,8 +137,8 @@
     // A driver's roster read fails with the VM that served it, although another server of the service is well. All attempts
     // had been lent to the daemon that is lost, and what is lent comes back with the answer alone.
     DaemonFixture daemon{1};
-    daemon.meetOther("other");
-    daemon.meetOther("third");
+    daemon.addPeer("other");
+    daemon.addPeer("third");
     const Actions first = daemon.arrive(1);
     const auto *const sent = DaemonFixture::find<SendToPeer>(first);
     REQUIRE(sent != nullptr);
@@ -146,7 +146,7 @@
     CHECK(std::get<protocol::CallRequest>(sent->message).attemptsLent == 0);
 
     CHECK(DaemonFixture::find<AnswerCaller>(daemon.core->handle(PeerLost{.daemon = lost, .wasConnected = true})) == nullptr);
-    const Actions later = daemon.pass(5s, false);
+    const Actions later = daemon.advance(5s, false);
     const auto again = std::find_if(later.begin(), later.end(), [](const Action &action) {
         const auto *const send = std::get_if<SendToPeer>(&action);
         return send != nullptr && std::holds_alternative<protocol::CallRequest>(send->message);
@@ -161,7 +161,7 @@
     // A caller is told not-run of a request that runs. The event of a connection that failed is read after a later attempt
     // has left by the next connection; only the failure of that very attempt may end it.
     DaemonFixture daemon;
-    daemon.meetOther();
+    daemon.addPeer();
     const Actions started = daemon.arrive(1);
     const auto *const sent = DaemonFixture::find<SendToPeer>(started);
     REQUIRE(sent != nullptr);
@@ -180,9 +180,9 @@
     // Calls are refused one after the other by a daemon whose backend server was killed and said nothing.
     DaemonFixture daemon;
     daemon.announce();
-    static_cast<void>(daemon.pass(10s, true));
+    static_cast<void>(daemon.advance(10s, true));
     CHECK((daemon.state() == MemberState::serving));
-    static_cast<void>(daemon.pass(6s, false));
+    static_cast<void>(daemon.advance(6s, false));
     CHECK((daemon.state() == MemberState::idle));
     daemon.announce();
     CHECK((daemon.state() == MemberState::serving));
@@ -197,7 +197,7 @@
     static_cast<void>(daemon.core->handle(ServerDraining{}));
     daemon.announce("first");
     CHECK((daemon.state() == MemberState::draining));
-    CHECK(DaemonFixture::find<Drained>(daemon.pass(10s, false)) == nullptr);
+    CHECK(DaemonFixture::find<Drained>(daemon.advance(10s, false)) == nullptr);
     daemon.announce("first");
     CHECK((daemon.state() == MemberState::idle));
     daemon.announce("second");
@@ -219,28 +219,28 @@
 TEST_CASE("a daemon that starts again is told by the others that its server leaves")
 {
     DaemonFixture daemon;
-    daemon.meetOther();
+    daemon.addPeer();
     daemon.announce("first");
-    const Actions told = daemon.core->handle(ServerDraining{.instance = "first"});
-    const auto *const sent = DaemonFixture::find<SendToPeer>(told);
+    const Actions drainActions = daemon.core->handle(ServerDraining{.instance = "first"});
+    const auto *const sent = DaemonFixture::find<SendToPeer>(drainActions);
     REQUIRE(sent != nullptr);
-    const protocol::Gossip news = std::get<protocol::Gossip>(sent->message);
+    const protocol::Gossip gossip = std::get<protocol::Gossip>(sent->message);
 
-    const auto hear = [&news](DaemonFixture &fixture) {
-        return fixture.core->handle(PeerMessage{.envelope = {.sender = {"other"}, .incarnation = peerLife, .message = news}});
+    const auto receive = [&gossip](DaemonFixture &fixture) {
+        return fixture.core->handle(PeerMessage{.envelope = {.sender = {"other"}, .incarnation = peerIncarnation, .message = gossip}});
     };
-    DaemonFixture heardFirst;
-    static_cast<void>(hear(heardFirst));
-    heardFirst.announce("first");
-    CHECK((heardFirst.state() == MemberState::idle));
-
-    DaemonFixture heardLater;
-    heardLater.announce("first");
-    CHECK(DaemonFixture::find<DepartureHeard>(hear(heardLater)) != nullptr);
-    CHECK((heardLater.state() == MemberState::draining));
-    CHECK(heardLater.core->load().draining);
-    heardLater.announce("second");
-    CHECK((heardLater.state() == MemberState::serving));
+    DaemonFixture rumourFirst;
+    static_cast<void>(receive(rumourFirst));
+    rumourFirst.announce("first");
+    CHECK((rumourFirst.state() == MemberState::idle));
+
+    DaemonFixture announcedFirst;
+    announcedFirst.announce("first");
+    CHECK(DaemonFixture::find<DepartureReported>(receive(announcedFirst)) != nullptr);
+    CHECK((announcedFirst.state() == MemberState::draining));
+    CHECK(announcedFirst.core->load().draining);
+    announcedFirst.announce("second");
+    CHECK((announcedFirst.state() == MemberState::serving));
 }
 
 TEST_CASE("a server that left does not come back once another has been in its place")
@@ -260,7 +260,7 @@
     static_cast<void>(daemon.core->handle(ServerDraining{}));
     daemon.announce();
     CHECK((daemon.state() != MemberState::serving));
-    static_cast<void>(daemon.pass(6s, false));
+    static_cast<void>(daemon.advance(6s, false));
     daemon.announce();
     CHECK((daemon.state() == MemberState::serving));
 }
@@ -285,7 +285,7 @@
     const ExecutionId execution = run->execution;
 
     static_cast<void>(daemon.core->handle(ServerDraining{.isShutdown = true}));
-    CHECK(DaemonFixture::find<Drained>(daemon.pass(5s, true)) == nullptr);
+    CHECK(DaemonFixture::find<Drained>(daemon.advance(5s, true)) == nullptr);
     CHECK((daemon.state() == MemberState::draining));
     const Actions refused = daemon.arrive(2);
     REQUIRE(DaemonFixture::find<AnswerCaller>(refused) != nullptr);
@@ -294,6 +294,6 @@
     const Actions ended = daemon.core->handle(RunEnded{.execution = execution, .result = RunAnswer{.status = 200, .headers = {}, .body = "whole"}});
     REQUIRE(DaemonFixture::find<AnswerCaller>(ended) != nullptr);
     CHECK(DaemonFixture::find<AnswerCaller>(ended)->answer.body == "whole");
-    CHECK(DaemonFixture::find<Drained>(daemon.pass(2s, true)) != nullptr);
+    CHECK(DaemonFixture::find<Drained>(daemon.advance(2s, true)) != nullptr);
     CHECK((daemon.state() == MemberState::gone));
 }
--- a/test/egretlatch/decision/serving_handler.cpp
+++ b/test/egretlatch/decision/serving_handler.cpp
@@ -16,8 +16,8 @@
 {
 
 constexpr std::uint64_t seed = 1;
-constexpr Incarnation selfLife{100};
-constexpr Incarnation peerLife{200};
+constexpr Incarnation selfIncarnation{100};
+constexpr Incarnation peerIncarnation{200};
 
 [[nodiscard]] std::shared_ptr<const manifest::Manifest> rosterManifest()
 {
@@ -35,7 +35,7 @@
 {
     membership::Member self;
     self.id = {"serving"};
-    self.incarnation = selfLife;
+    self.incarnation = selfIncarnation;
     CoreBuilder builder{clock, random, metrics};
     builder.setSelf(self);
     return builder;
@@ -45,7 +45,7 @@
 {
     protocol::CallRequest request;
     request.call = {number};
-    request.receiver = selfLife;
+    request.receiver = selfIncarnation;
     request.service = "roster";
     request.kind = "read";
     request.remaining = remaining;
@@ -76,7 +76,7 @@
     std::uint64_t number = 0;
     for (const std::chrono::milliseconds remaining : {shortTime, longTime, shortTime}) {
         ++number;
-        answers += countAnswers(core->handle(PeerMessage{{.sender = {"entry"}, .incarnation = peerLife, .message = callOf(number, remaining)}}));
+        answers += countAnswers(core->handle(PeerMessage{{.sender = {"entry"}, .incarnation = peerIncarnation, .message = callOf(number, remaining)}}));
     }
     clock.advance(shortTime);
     answers += countAnswers(core->handle(Tick{}));
@@ -84,15 +84,15 @@
 }
 
 // What a daemon says of a call that is meant for its earlier life.
-[[nodiscard]] Verdict verdictOnStranger(const Delivery delivery)
+[[nodiscard]] Verdict verdictOnWrongIncarnation(const Delivery delivery)
 {
     fakes::ManualClock clock;
     SeededRandom random{seed};
     fakes::CountingMetrics metrics;
     const std::unique_ptr<Core> core = servingDaemon(clock, random, metrics).setDelivery(delivery).build();
     protocol::CallRequest request = callOf(1, std::chrono::milliseconds{100});
-    request.receiver = Incarnation{selfLife.value - 1};
-    for (const Action &action : core->handle(PeerMessage{.envelope = {.sender = {"entry"}, .incarnation = peerLife, .message = request}})) {
+    request.receiver = Incarnation{selfIncarnation.value - 1};
+    for (const Action &action : core->handle(PeerMessage{.envelope = {.sender = {"entry"}, .incarnation = peerIncarnation, .message = request}})) {
         const auto *const send = std::get_if<SendToPeer>(&action);
         if (send != nullptr && std::holds_alternative<protocol::CallAnswer>(send->message)) {
             return std::get<protocol::CallAnswer>(send->message).verdict;
@@ -106,8 +106,8 @@
 
 TEST_CASE("a call that only the wrong life of a daemon got has not run, so that its caller may be served elsewhere")
 {
-    CHECK((verdictOnStranger(Delivery::oneLife) == Verdict::notRun));
-    CHECK((verdictOnStranger(Delivery::severalLives) == Verdict::mayHaveRun));
+    CHECK((verdictOnWrongIncarnation(Delivery::oneIncarnation) == Verdict::notRun));
+    CHECK((verdictOnWrongIncarnation(Delivery::severalIncarnations) == Verdict::mayHaveRun));
 }
 
 TEST_CASE("calls whose deadline passes together are each answered once")
--- a/test/history/check.cpp
+++ b/test/history/check.cpp
@@ -26,8 +26,8 @@
 {
     std::map<std::string, int> runs;
     for (const Ran &ran : history.ran) {
-        if (!ran.idempotent && ++runs[ran.service + "/" + ran.kind + " " + ran.logical] == 2) {
-            violations.push_back(fmt::format("ran-twice: {}/{} {} key {}", ran.service, ran.kind, ran.logical, ran.key));
+        if (!ran.idempotent && ++runs[ran.service + "/" + ran.kind + " " + ran.logicalId] == 2) {
+            violations.push_back(fmt::format("ran-twice: {}/{} {} key {}", ran.service, ran.kind, ran.logicalId, ran.key));
         }
     }
 }
@@ -40,7 +40,7 @@
             continue;
         }
         const bool hasRun = std::any_of(history.ran.begin(), history.ran.end(), [sent](const Ran &ran) {
-            return sent->key.empty() ? ran.logical == sent->logical : ran.key == sent->key;
+            return sent->key.empty() ? ran.logicalId == sent->logicalId : ran.key == sent->key;
         });
         if (hasRun) {
             violations.push_back(fmt::format("not-run-but-ran: exchange {} key {} ({})", answered.exchange, sent->key, answered.reason));
@@ -59,16 +59,16 @@
         if (answered.verdict != Verdict::completed || sent == nullptr) {
             continue;
         }
-        const bool isOwn = std::any_of(history.ran.begin(), history.ran.end(), [&](const Ran &ran) {
-            return ran.answer == answered.body && ran.logical == sent->logical;
+        const bool isFromOwnRun = std::any_of(history.ran.begin(), history.ran.end(), [&](const Ran &ran) {
+            return ran.answer == answered.body && ran.logicalId == sent->logicalId;
         });
-        if (!isOwn) {
+        if (!isFromOwnRun) {
             violations.push_back(fmt::format("wrong-answer: exchange {} got {}", answered.exchange, answered.body));
         }
     }
     for (const Sent &sent : history.sent) {
-        const bool isExcused = std::find(history.excused.begin(), history.excused.end(), sent.exchange) != history.excused.end();
-        if (!isExcused && !seen.contains(sent.exchange)) {
+        const bool isExempt = std::find(history.exempt.begin(), history.exempt.end(), sent.exchange) != history.exempt.end();
+        if (!isExempt && !seen.contains(sent.exchange)) {
             violations.push_back(fmt::format("never-answered: exchange {}", sent.exchange));
         }
     }
--- a/test/history/history.hpp
+++ b/test/history/history.hpp
@@ -16,7 +16,7 @@
     int exchange{};
     std::string key;
     /*! @brief Names the request whatever its key and entry; unkeyed sends have one each. */
-    std::string logical;
+    std::string logicalId;
     bool idempotent{};
 };
 
@@ -26,7 +26,7 @@
     std::string service;
     std::string kind;
     std::string key;
-    std::string logical;
+    std::string logicalId;
     bool idempotent{};
     /*! @brief What the run answers if it gets to; different for each run. */
     std::string answer;
@@ -48,7 +48,7 @@
     std::vector<Ran> ran;
     std::vector<Answered> answered;
     /*! @brief Exchanges whose entry died, or whose caller closed the connection: no answer is owed. */
-    std::vector<int> excused;
+    std::vector<int> exempt;
     /*! @brief Attempts sent to serving daemons, by the trace of their root. */
     std::map<std::string, int> attempts;
     /*! @brief Inner calls that the runs of a root's tree have made, by its trace. */
--- a/test/history/schedule.cpp
+++ b/test/history/schedule.cpp
@@ -24,9 +24,9 @@
 constexpr std::size_t nodesPerService = 3;
 constexpr std::size_t smallLedger = 3;
 constexpr std::size_t largeLedger = 1000;
-constexpr int mostSends = 5;
-constexpr double hastyShare = 0.1;
-constexpr int mostSkewMs = 3000;
+constexpr int maxSends = 5;
+constexpr double prematureNextKeyShare = 0.1;
+constexpr int maxSkewMs = 3000;
 // Short, so that a schedule sees many of them change hands.
 constexpr retry::GrantTimes grantTimes{
     .length = std::chrono::seconds{4}, .readInterval = std::chrono::milliseconds{600}, .retryInterval = std::chrono::milliseconds{150}};
@@ -63,19 +63,19 @@
     , m_manifest{scheduleManifest()}
 {
     m_history.retryBudget = internal::retryBudget;
-    constexpr double most = 0.08;
-    m_faults.loss = m_random.fraction() * most;
-    m_faults.duplication = m_random.fraction() * most * 2;
-    m_faults.holdUp = m_random.fraction() * most * 2;
+    constexpr double maxShare = 0.08;
+    m_faults.loss = m_random.fraction() * maxShare;
+    m_faults.duplication = m_random.fraction() * maxShare * 2;
+    m_faults.delayed = m_random.fraction() * maxShare * 2;
     m_faults.pauses = static_cast<int>(m_random.below(4));
     m_faults.crashes = static_cast<int>(m_random.below(4));
-    m_faults.lostRuns = m_random.fraction() * most * 2;
-    m_faults.rejects = m_random.fraction() * most * 4;
-    m_faults.sendFailures = m_random.fraction() * most;
+    m_faults.lostRuns = m_random.fraction() * maxShare * 2;
+    m_faults.rejects = m_random.fraction() * maxShare * 4;
+    m_faults.sendFailures = m_random.fraction() * maxShare;
     m_ledgerEntries = m_random.below(4) == 0 ? internal::smallLedger : internal::largeLedger;
-    m_faults.lostPlatformAnswers = m_random.fraction() * most * 4;
+    m_faults.lostPlatformAnswers = m_random.fraction() * maxShare * 4;
     m_faults.outages = static_cast<int>(m_random.below(3));
-    m_faults.leaves = static_cast<int>(m_random.below(3));
+    m_faults.shutdowns = static_cast<int>(m_random.below(3));
     m_faults.drains = static_cast<int>(m_random.below(2));
     for (std::size_t index = 0; index < 2 * internal::nodesPerService; ++index) {
         Node node;
@@ -91,11 +91,11 @@
         boot(index);
     }
     plan(internal::warmUp, [this] {
-        m_isQuiet = false;
+        m_isFaultFree = false;
         planFaults();
     });
     plan(internal::faultsEnd, [this] {
-        m_isQuiet = true;
+        m_isFaultFree = true;
     });
     for (int number = 0; number < internal::callersPerSchedule; ++number) {
         Caller caller;
@@ -104,13 +104,13 @@
         caller.service = "launch-log";
         caller.kind = kind < 2 ? "launch-entry" : (kind == 2 ? "statement" : "lookup");
         caller.idempotent = kind >= 2;
-        caller.mintsItself = m_random.below(2) == 0;
+        caller.mintsOwnKeys = m_random.below(2) == 0;
         m_callers.push_back(caller);
         plan(internal::warmUp + between(0, 6000), [this, index = m_callers.size() - 1] {
-            m_callers[index].idempotent ? send(index) : wish(index);
+            m_callers[index].idempotent ? send(index) : requestKey(index);
         });
     }
-    const Clock end = m_clock.steadyNow() + internal::scheduleEnd;
+    const Time end = m_clock.steadyNow() + internal::scheduleEnd;
     while (!m_plan.empty() && m_plan.top().at <= end) {
         const Planned next = m_plan.top();
         m_plan.pop();
@@ -127,10 +127,10 @@
     m_plan.push({.at = m_clock.steadyNow() + wait, .order = ++m_order, .step = std::move(step)});
 }
 
-Duration Schedule::between(const int leastMs, const int mostMs)
+Duration Schedule::between(const int minMs, const int maxMs)
 {
-    return std::chrono::microseconds{static_cast<std::int64_t>(leastMs) * 1000
-                                     + static_cast<std::int64_t>(m_random.below(static_cast<std::uint64_t>(mostMs - leastMs) * 1000 + 1))};
+    return std::chrono::microseconds{static_cast<std::int64_t>(minMs) * 1000
+                                     + static_cast<std::int64_t>(m_random.below(static_cast<std::uint64_t>(maxMs - minMs) * 1000 + 1))};
 }
 
 std::size_t Schedule::anyNode()
@@ -143,7 +143,7 @@
     Node &node = m_nodes[index];
     node.incarnation = {++m_incarnations};
     node.random = std::make_unique<SeededRandom>(m_random.next());
-    ++node.life;
+    ++node.generation;
     membership::Member self;
     self.id = node.id;
     self.incarnation = node.incarnation;
@@ -160,30 +160,30 @@
     }
     node.core = builder.build();
     // A daemon that starts has no configuration for a while.
-    plan(between(0, 200), [this, index, life = node.life] {
-        if (m_nodes[index].life == life) {
-            give(index, decision::ManifestChanged{.version = 1, .manifest = m_manifest});
+    plan(between(0, 200), [this, index, generation = node.generation] {
+        if (m_nodes[index].generation == generation) {
+            handleEvent(index, decision::ManifestChanged{.version = 1, .manifest = m_manifest});
             announce(index);
         }
     });
-    planTick(index, node.life);
+    planTick(index, node.generation);
 }
 
 void Schedule::announce(const std::size_t index)
 {
     m_nodes[index].instance = fmt::format("server {}", ++m_servers);
-    repeatAnnouncement(index, m_nodes[index].life, m_nodes[index].instance);
+    repeatAnnouncement(index, m_nodes[index].generation, m_nodes[index].instance);
 }
 
-void Schedule::repeatAnnouncement(const std::size_t index, const int life, const std::string &instance)
+void Schedule::repeatAnnouncement(const std::size_t index, const int generation, const std::string &instance)
 {
     const Node &node = m_nodes[index];
-    if (node.life != life || node.instance != instance) {
+    if (node.generation != generation || node.instance != instance) {
         return;
     }
-    give(index, decision::ServerAnnounced{.service = node.service, .slots = internal::slots, .connections = 100, .instance = instance});
-    plan(std::chrono::seconds{1}, [this, index, life, instance] {
-        repeatAnnouncement(index, life, instance);
+    handleEvent(index, decision::ServerAnnounced{.service = node.service, .slots = internal::slots, .connections = 100, .instance = instance});
+    plan(std::chrono::seconds{1}, [this, index, generation, instance] {
+        repeatAnnouncement(index, generation, instance);
     });
 }
 
@@ -192,7 +192,7 @@
     // The backend server beside it goes on with what it runs; nobody takes its answer.
     for (const auto &[exchange, entry] : m_entryOf) {
         if (entry == index) {
-            m_history.excused.push_back(exchange);
+            m_history.exempt.push_back(exchange);
         }
     }
     m_nodes[index].pausedUntil = {};
@@ -219,10 +219,10 @@
             m_tableDownUntil = m_clock.steadyNow() + between(500, 6000);
         });
     }
-    for (int count = 0; count < m_faults.leaves; ++count) {
+    for (int count = 0; count < m_faults.shutdowns; ++count) {
         plan(span(), [this] {
             const std::size_t index = anyNode();
-            give(index, decision::ServerDraining{.isShutdown = true});
+            handleEvent(index, decision::ServerDraining{.isShutdown = true});
             plan(between(500, 4000), [this, index] {
                 crash(index);
             });
@@ -231,7 +231,7 @@
     for (int count = 0; count < m_faults.drains; ++count) {
         plan(span(), [this] {
             const std::size_t index = anyNode();
-            give(index, decision::ServerDraining{});
+            handleEvent(index, decision::ServerDraining{});
             plan(between(100, 2000), [this, index] {
                 announce(index);
             });
@@ -239,45 +239,45 @@
     }
 }
 
-void Schedule::planTick(const std::size_t index, const int life)
+void Schedule::planTick(const std::size_t index, const int generation)
 {
     const Node &node = m_nodes[index];
     const Duration wait = std::min<Duration>(std::max<Duration>(node.core->nextTick() - m_clock.steadyNow(), std::chrono::milliseconds{1}), internal::tick);
     const bool isBusy = wait < std::chrono::milliseconds{10};
-    plan(isBusy ? wait : Duration{internal::tick}, [this, index, life] {
-        if (m_nodes[index].life == life) {
-            give(index, decision::Tick{});
-            planTick(index, life);
+    plan(isBusy ? wait : Duration{internal::tick}, [this, index, generation] {
+        if (m_nodes[index].generation == generation) {
+            handleEvent(index, decision::Tick{});
+            planTick(index, generation);
         }
     });
 }
 
-void Schedule::give(const std::size_t index, decision::Event event)
+void Schedule::handleEvent(const std::size_t index, decision::Event event)
 {
     const Node &node = m_nodes[index];
     if (node.pausedUntil > m_clock.steadyNow()) {
         // A paused daemon reads what came meanwhile once it goes on, in the order in which it came.
-        plan(node.pausedUntil - m_clock.steadyNow(), [this, index, life = node.life, held = std::move(event)] {
-            if (m_nodes[index].life == life) {
-                give(index, held);
+        plan(node.pausedUntil - m_clock.steadyNow(), [this, index, generation = node.generation, held = std::move(event)] {
+            if (m_nodes[index].generation == generation) {
+                handleEvent(index, held);
             }
         });
         return;
     }
     decision::Actions actions = m_nodes[index].core->handle(event);
     for (decision::Action &action : actions) {
-        carryOut(index, action);
+        execute(index, action);
     }
 }
 
-void Schedule::carryOut(const std::size_t index, decision::Action &action)
+void Schedule::execute(const std::size_t index, decision::Action &action)
 {
     if (const auto *const send = std::get_if<decision::SendToPeer>(&action)) {
         transmit(index, *send);
     } else if (const auto *const start = std::get_if<decision::StartRun>(&action)) {
         startRun(index, *start);
     } else if (const auto *const ask = std::get_if<decision::AskPlatform>(&action)) {
-        askTable(index, *ask);
+        queryTable(index, *ask);
     } else if (const auto *const answer = std::get_if<decision::AnswerCaller>(&action)) {
         handleAnswer(index, *answer);
     }
@@ -298,7 +298,7 @@
     }
     const std::size_t to = static_cast<std::size_t>(target - m_nodes.begin());
     const protocol::Envelope envelope{.sender = m_nodes[from].id, .incarnation = m_nodes[from].incarnation, .message = send.message};
-    if (m_isQuiet) {
+    if (m_isFaultFree) {
         plan(between(1, 3), [this, to, envelope] {
             deliver(to, envelope);
         });
@@ -306,17 +306,17 @@
     }
     const auto *const asked = std::get_if<protocol::CallRequest>(&send.message);
     if (asked != nullptr && m_random.fraction() < m_faults.sendFailures) {
-        plan(between(0, 2), [this, from, life = m_nodes[from].life, failed = decision::SendFailed{.to = send.to, .call = asked->call}] {
-            if (m_nodes[from].life == life) {
-                give(from, failed);
+        plan(between(0, 2), [this, from, generation = m_nodes[from].generation, failed = decision::SendFailed{.to = send.to, .call = asked->call}] {
+            if (m_nodes[from].generation == generation) {
+                handleEvent(from, failed);
             }
         });
         return;
     }
     const int copies = m_random.fraction() < m_faults.loss ? 0 : (m_random.fraction() < m_faults.duplication ? 2 : 1);
     for (int copy = 0; copy < copies; ++copy) {
-        const bool isHeldUp = m_random.fraction() < m_faults.holdUp;
-        plan(isHeldUp ? between(100, 5000) : between(1, 30), [this, to, envelope] {
+        const bool isDelayed = m_random.fraction() < m_faults.delayed;
+        plan(isDelayed ? between(100, 5000) : between(1, 30), [this, to, envelope] {
             deliver(to, envelope);
         });
     }
@@ -325,14 +325,14 @@
 void Schedule::deliver(const std::size_t to, const protocol::Envelope &envelope)
 {
     // Whichever life listens at the address gets the message; a paused one reads it later.
-    give(to, decision::PeerMessage{.envelope = envelope});
+    handleEvent(to, decision::PeerMessage{.envelope = envelope});
 }
 
-void Schedule::askTable(const std::size_t index, const decision::AskPlatform &ask)
+void Schedule::queryTable(const std::size_t index, const decision::AskPlatform &ask)
 {
-    const auto reply = [this, index, life = m_nodes[index].life, id = ask.id](const store::Outcome &outcome) {
-        if (m_nodes[index].life == life) {
-            give(index, decision::PlatformAnswered{.id = id, .outcome = outcome});
+    const auto reply = [this, index, generation = m_nodes[index].generation, id = ask.id](const store::Outcome &outcome) {
+        if (m_nodes[index].generation == generation) {
+            handleEvent(index, decision::PlatformAnswered{.id = id, .outcome = outcome});
         }
     };
     if (m_tableDownUntil > m_clock.steadyNow()) {
@@ -341,7 +341,7 @@
         });
         return;
     }
-    const bool isLost = !m_isQuiet && m_random.fraction() < m_faults.lostPlatformAnswers;
+    const bool isLost = !m_isFaultFree && m_random.fraction() < m_faults.lostPlatformAnswers;
     if (!isLost) {
         plan(between(1, 10), [this, reply, request = ask.request] {
             reply(m_table.ask(request));
@@ -365,25 +365,25 @@
 {
     auto run = std::make_shared<Run>();
     run->node = index;
-    run->life = m_nodes[index].life;
+    run->generation = m_nodes[index].generation;
     run->execution = start.execution;
     run->request = start.request;
-    run->logical = start.request.body.toStdString();
-    if (!m_isQuiet && m_random.fraction() < m_faults.rejects) {
+    run->logicalId = start.request.body.toStdString();
+    if (!m_isFaultFree && m_random.fraction() < m_faults.rejects) {
         plan(between(1, 3), [this, run] {
-            if (m_nodes[run->node].life == run->life) {
-                give(run->node, decision::RunEnded{.execution = run->execution, .result = decision::RunFailure::rejected});
+            if (m_nodes[run->node].generation == run->generation) {
+                handleEvent(run->node, decision::RunEnded{.execution = run->execution, .result = decision::RunFailure::rejected});
             }
         });
         return;
     }
     const bool isIdempotent = m_manifest->findKind(m_nodes[index].service, start.request.kind)->idempotent;
-    run->answer = fmt::format("{} by run {}", run->logical, ++m_runs);
-    run->isLost = !m_isQuiet && m_random.fraction() < m_faults.lostRuns;
+    run->answer = fmt::format("{} by run {}", run->logicalId, ++m_runs);
+    run->isLost = !m_isFaultFree && m_random.fraction() < m_faults.lostRuns;
     m_history.ran.push_back({.service = m_nodes[index].service,
                              .kind = start.request.kind,
                              .key = start.request.key,
-                             .logical = run->logical,
+                             .logicalId = run->logicalId,
                              .idempotent = isIdempotent,
                              .answer = run->answer});
     plan(between(1, 40), [this, run] {
@@ -394,7 +394,7 @@
 void Schedule::stepRun(const RunPtr &run)
 {
     const bool callsArchive = run->request.kind == "launch-entry" || run->request.kind == "statement";
-    const bool hasDied = m_nodes[run->node].life != run->life;
+    const bool hasDied = m_nodes[run->node].generation != run->generation;
     if (!callsArchive || run->nextCall >= 1 || hasDied) {
         endRun(run);
         return;
@@ -407,26 +407,26 @@
     call.kind = "append";
     call.method = "POST";
     call.path = "/";
-    call.body = QByteArray::fromStdString(run->logical);
+    call.body = QByteArray::fromStdString(run->logicalId);
     call.runToken = run->request.runToken;
     m_innerOf[exchange] = run;
     m_entryOf[exchange] = run->node;
-    give(run->node, decision::CallArrived{.exchange = {static_cast<std::uint64_t>(exchange)}, .call = call});
+    handleEvent(run->node, decision::CallArrived{.exchange = {static_cast<std::uint64_t>(exchange)}, .call = call});
 }
 
 void Schedule::endRun(const RunPtr &run)
 {
-    if (m_nodes[run->node].life != run->life) {
+    if (m_nodes[run->node].generation != run->generation) {
         return;
     }
     if (run->isLost) {
-        give(run->node, decision::RunEnded{.execution = run->execution, .result = decision::RunFailure::lost});
+        handleEvent(run->node, decision::RunEnded{.execution = run->execution, .result = decision::RunFailure::lost});
         return;
     }
     decision::RunAnswer answer;
     answer.status = 200;
     answer.body = QByteArray::fromStdString(run->answer);
-    give(run->node, decision::RunEnded{.execution = run->execution, .result = answer});
+    handleEvent(run->node, decision::RunEnded{.execution = run->execution, .result = answer});
 }
 
 void Schedule::handleAnswer(const std::size_t /*index*/, const decision::AnswerCaller &answer)
@@ -441,9 +441,9 @@
         });
         return;
     }
-    if (const auto wished = m_wishOf.find(exchange); wished != m_wishOf.end()) {
-        const std::size_t caller = wished->second;
-        m_wishOf.erase(wished);
+    if (const auto keyRequest = m_keyRequestOf.find(exchange); keyRequest != m_keyRequestOf.end()) {
+        const std::size_t caller = keyRequest->second;
+        m_keyRequestOf.erase(keyRequest);
         if (answer.answer.verdict == Verdict::completed && m_callers[caller].key.empty()) {
             const std::string body = answer.answer.body.toStdString();
             const std::size_t start = body.find("el1-");
@@ -463,62 +463,61 @@
     handleCallerAnswer(found->second, exchange, answer.answer);
 }
 
-void Schedule::wish(const std::size_t caller)
+void Schedule::requestKey(const std::size_t caller)
 {
     if (!m_callers[caller].key.empty()) {
         return;
     }
-    if (m_callers[caller].mintsItself) {
-        const auto skew =
-            std::chrono::duration_cast<WallTime::duration>(between(0, 2 * internal::mostSkewMs)) - std::chrono::milliseconds{internal::mostSkewMs};
+    if (m_callers[caller].mintsOwnKeys) {
+        const auto skew = std::chrono::duration_cast<WallTime::duration>(between(0, 2 * internal::maxSkewMs)) - std::chrono::milliseconds{internal::maxSkewMs};
         m_callers[caller].key = UuidMint{m_random}.mint(m_clock.wallNow() + skew).toString();
         send(caller);
         return;
     }
     const int exchange = ++m_exchanges;
-    m_wishOf[exchange] = caller;
-    give(anyNode(), decision::KeyRequested{.exchange = {static_cast<std::uint64_t>(exchange)}, .service = "launch-log", .kind = "launch-entry"});
+    m_keyRequestOf[exchange] = caller;
+    handleEvent(anyNode(), decision::KeyRequested{.exchange = {static_cast<std::uint64_t>(exchange)}, .service = "launch-log", .kind = "launch-entry"});
     plan(std::chrono::milliseconds{500}, [this, caller] {
-        wish(caller);
+        requestKey(caller);
     });
 }
 
 void Schedule::send(const std::size_t index)
 {
     Caller &caller = m_callers[index];
-    if (caller.isDone || caller.sends >= internal::mostSends) {
+    if (caller.isDone || caller.sends >= internal::maxSends) {
         return;
     }
     ++caller.sends;
     const int exchange = ++m_exchanges;
     const std::size_t entry = anyNode();
     // A resend of a keyed request is the same request; one without a key is another.
-    const std::string logical = caller.idempotent ? fmt::format("q{}.{}", caller.number, exchange) : fmt::format("q{}", caller.number);
+    const std::string logicalId = caller.idempotent ? fmt::format("q{}.{}", caller.number, exchange) : fmt::format("q{}", caller.number);
     decision::CallerCall call;
     call.service = caller.service;
     call.kind = caller.kind;
     call.method = "POST";
     call.path = "/";
-    call.body = QByteArray::fromStdString(logical);
+    call.body = QByteArray::fromStdString(logicalId);
     call.key = caller.key;
     caller.open = exchange;
     m_callerOf[exchange] = index;
     m_entryOf[exchange] = entry;
-    m_history.sent.push_back({.exchange = exchange, .key = caller.key, .logical = logical, .idempotent = caller.idempotent});
-    give(entry, decision::CallArrived{.exchange = {static_cast<std::uint64_t>(exchange)}, .call = call});
+    m_history.sent.push_back({.exchange = exchange, .key = caller.key, .logicalId = logicalId, .idempotent = caller.idempotent});
+    handleEvent(entry, decision::CallArrived{.exchange = {static_cast<std::uint64_t>(exchange)}, .call = call});
     plan(between(300, 2500), [this, index, exchange, entry] {
         if (m_callers[index].open != exchange) {
             return;
         }
         m_callers[index].open = -1;
-        m_history.excused.push_back(exchange);
+        m_history.exempt.push_back(exchange);
         auto key = retry::RequestKey::parse(m_callers[index].key);
         key = key.has_value() ? key : retry::RequestKey::parseUuid(m_callers[index].key);
-        if (key.has_value() && m_random.fraction() < internal::hastyShare) {
+        if (key.has_value() && m_random.fraction() < internal::prematureNextKeyShare) {
             // A caller that takes the next key without having been told that the one before did not run.
             m_callers[index].key = key->next().text();
         }
-        give(entry, decision::CallerGone{.exchange = {static_cast<std::uint64_t>(exchange)}});
+        handleEvent(entry, decision::CallerGone{.exchange = {static_cast<std::uint64_t>(exchange)}});
         resendOrStop(index, 0.8);
     });
 }
--- a/test/history/schedule.hpp
+++ b/test/history/schedule.hpp
@@ -23,7 +23,7 @@
     double loss{};
     double duplication{};
     /*! @brief Share of messages that are held up for seconds. */
-    double holdUp{};
+    double delayed{};
     int pauses{};
     int crashes{};
     /*! @brief Share of the runs whose connection is lost. */
@@ -36,7 +36,7 @@
     /*! @brief Share of the platform's answers that are lost, after the write took effect or before it does. */
     double lostPlatformAnswers{};
     int outages{};
-    int leaves{};
+    int shutdowns{};
 };
 
 /**
@@ -61,7 +61,7 @@
     [[nodiscard]] const History &run();
 
 private:
-    using Clock = egretlatch::SteadyTime;
+    using Time = egretlatch::SteadyTime;
     using Duration = egretlatch::Duration;
     using Step = std::function<void()>;
 
@@ -72,11 +72,11 @@
         egretlatch::Incarnation incarnation;
         std::unique_ptr<egretlatch::SeededRandom> random;
         std::unique_ptr<egretlatch::decision::Core> core;
-        Clock pausedUntil{};
+        Time pausedUntil{};
         /*! @brief Names the backend server beside it. */
         std::string instance;
         /*! @brief Counts lives, so that what was meant for one does not reach the next. */
-        int life{};
+        int generation{};
     };
 
     struct Caller
@@ -88,7 +88,7 @@
         std::string key;
         int sends{};
         /*! @brief Whether it mints its keys itself, by its own clock. */
-        bool mintsItself{};
+        bool mintsOwnKeys{};
         int open{-1};
         bool isDone{};
     };
@@ -96,10 +96,10 @@
     struct Run
     {
         std::size_t node{};
-        int life{};
+        int generation{};
         egretlatch::ExecutionId execution;
         egretlatch::decision::RunRequest request;
-        std::string logical;
+        std::string logicalId;
         std::string answer;
         std::size_t nextCall{};
         bool isLost{};
@@ -109,7 +109,7 @@
 
     struct Planned
     {
-        Clock at;
+        Time at;
         std::uint64_t order{};
         Step step;
 
@@ -122,31 +122,31 @@
     void plan(Duration wait, Step step);
     void boot(std::size_t index);
     void announce(std::size_t index);
-    void repeatAnnouncement(std::size_t index, int life, const std::string &instance);
+    void repeatAnnouncement(std::size_t index, int generation, const std::string &instance);
     void crash(std::size_t index);
     void planFaults();
-    void give(std::size_t index, egretlatch::decision::Event event);
-    void planTick(std::size_t index, int life);
-    void carryOut(std::size_t index, egretlatch::decision::Action &action);
+    void handleEvent(std::size_t index, egretlatch::decision::Event event);
+    void planTick(std::size_t index, int generation);
+    void execute(std::size_t index, egretlatch::decision::Action &action);
     void transmit(std::size_t from, const egretlatch::decision::SendToPeer &send);
     void deliver(std::size_t to, const egretlatch::protocol::Envelope &envelope);
-    void askTable(std::size_t index, const egretlatch::decision::AskPlatform &ask);
+    void queryTable(std::size_t index, const egretlatch::decision::AskPlatform &ask);
     void startRun(std::size_t index, const egretlatch::decision::StartRun &start);
     void stepRun(const RunPtr &run);
     void endRun(const RunPtr &run);
     void handleAnswer(std::size_t index, const egretlatch::decision::AnswerCaller &answer);
-    void wish(std::size_t caller);
+    void requestKey(std::size_t caller);
     void send(std::size_t caller);
     void handleCallerAnswer(std::size_t caller, int exchange, const egretlatch::decision::CallerAnswer &answer);
     void resendOrStop(std::size_t caller, double share);
     [[nodiscard]] std::size_t anyNode();
-    [[nodiscard]] Duration between(int leastMs, int mostMs);
+    [[nodiscard]] Duration between(int minMs, int maxMs);
 
     egretlatch::SeededRandom m_random;
     fakes::ManualClock m_clock;
     fakes::CountingMetrics m_metrics;
     fakes::Table m_table;
-    Clock m_tableDownUntil{};
+    Time m_tableDownUntil{};
     std::shared_ptr<const egretlatch::manifest::Manifest> m_manifest;
     Faults m_faults;
     std::vector<Node> m_nodes;
@@ -158,11 +158,11 @@
     int m_exchanges{};
     int m_runs{};
     int m_servers{};
-    bool m_isQuiet{true};
+    bool m_isFaultFree{true};
     std::map<int, std::size_t> m_callerOf;
     std::map<int, RunPtr> m_innerOf;
     std::map<int, std::size_t> m_entryOf;
-    std::map<int, std::size_t> m_wishOf;
+    std::map<int, std::size_t> m_keyRequestOf;
     History m_history;
 };
 
