--- a/src/egretlatch/decision/action.hpp
+++ b/src/egretlatch/decision/action.hpp
@@ -22,33 +22,33 @@
 namespace egretlatch::decision
 {
 
-/*! @brief What a caller is answered. */
+/*! @brief Answer to a caller. */
 struct CallerAnswer
 {
     Verdict verdict{Verdict::notRun};
     int status{};
     Headers headers;
     QByteArray body;
-    /*! @brief Set where the system, not the backend server, answers. */
+    /*! @brief Set where the daemon, not the backend server, answers. */
     std::optional<account::Refusal> refusal;
     std::string service;
     std::string kind;
-    /*! @brief Text for people where the request itself was wrong; empty otherwise. */
+    /*! @brief Human-readable description of an error in the request itself; empty otherwise. */
     std::string requestError;
-    /*! @brief Key that a resend after `not-run` is to use; empty where the same key, or none, will do. */
+    /*! @brief Key for a resend after `not-run`; empty where the same key, or none, may be used. */
     std::string nextKey;
 
     friend bool operator==(const CallerAnswer &, const CallerAnswer &) = default;
 };
 
-/*! @brief Answer an exchange; nothing more is said on it. */
+/*! @brief Sends the answer of an exchange, which ends it. */
 struct AnswerCaller
 {
     ExchangeId exchange;
     CallerAnswer answer;
 };
 
-/*! @brief Send a message to another daemon. */
+/*! @brief Sends a message to another daemon. */
 struct SendToPeer
 {
     DaemonId to;
@@ -57,7 +57,7 @@
     protocol::Message message;
 };
 
-/*! @brief A request as the backend server gets it. */
+/*! @brief Request as it is sent to the backend server. */
 struct RunRequest
 {
     std::string method;
@@ -66,25 +66,25 @@
     QByteArray body;
     /*! @brief Request kind; sent as `Egretlatch-Kind`. */
     std::string kind;
-    /*! @brief Time that the run has; sent as `Request-Timeout-Ms`. */
+    /*! @brief Time left for the run; sent as `Request-Timeout-Ms`. */
     Duration remaining{};
-    /*! @brief Sent as `Egretlatch-Call`, for the run's own calls. */
+    /*! @brief Identifies the run in its inner calls; sent as `Egretlatch-Call`. */
     std::string runToken;
     /*! @brief Sent as `Idempotency-Key` if not empty. */
     std::string key;
     account::TraceContext trace;
-    /*! @brief Whether the transport may send it again by itself; only where the kind is declared idempotent. */
+    /*! @brief Allows the transport to repeat the request by itself; set only where the kind is declared idempotent. */
     bool mayRepeat{};
 };
 
-/*! @brief Hand a request to the backend server beside this daemon. */
+/*! @brief Starts a request at the local backend server. */
 struct StartRun
 {
     ExecutionId execution;
     RunRequest request;
 };
 
-/*! @brief Close the connection of a run whose answer nobody waits for. */
+/*! @brief Closes the connection of a run whose answer is no longer needed. */
 struct AbortRun
 {
     ExecutionId execution;
@@ -92,79 +92,79 @@
 
 using account::RefusalRecord;
 
-/*! @brief Enter a refusal into the account. */
+/*! @brief Records a refusal. */
 struct RecordRefusal
 {
     RefusalRecord record;
-    /*! @brief What the caller calls its request; empty if it did not say. */
+    /*! @brief Name that the caller gave its request; empty if it gave none. */
     std::string requestName;
-    /*! @brief The daemon that the last attempt was made at; empty if there was none. */
+    /*! @brief Daemon of the last attempt; empty if there was none. */
     DaemonId server;
-    /*! @brief Since the request came. */
+    /*! @brief Time since the request arrived. */
     Duration elapsed{};
-    /*! @brief 0 for a caller's own request, 1 for a call that its run makes, and so on. */
+    /*! @brief Depth in the call graph: 0 for a root request, 1 for a call made by its run, and so on. */
     int depth{};
 };
 
-/*! @brief Something was decided about a request on its way that its answer does not show, for the log. */
+/*! @brief Logs a decision about a pending request that its answer does not show. */
 struct LogRequest
 {
-    /*! @brief What was decided, in a few words without variable parts. */
+    /*! @brief Event of the log line, without variable parts. */
     std::string_view what;
     std::string requestName;
     std::string service;
     std::string kind;
-    /*! @brief The daemon that the attempt was made at. */
+    /*! @brief Daemon of the attempt. */
     DaemonId server;
-    /*! @brief Why, as the attempt's end gave it. */
+    /*! @brief Reason, as reported at the end of the attempt. */
     std::string reason;
-    /*! @brief Since the request came. */
+    /*! @brief Time since the request arrived. */
     Duration elapsed{};
 };
 
-/*! @brief Export a finished span. */
+/*! @brief Exports a finished span. */
 struct RecordSpan
 {
     account::Span span;
 };
 
-/*! @brief Ask the platform; a PlatformAnswered with the same id follows. */
+/*! @brief Sends a request to the platform; a PlatformAnswered with the same id follows. */
 struct AskPlatform
 {
     store::RequestId id;
     store::Request request;
 };
 
-/*! @brief A configuration has been put in force. */
+/*! @brief Reports that a configuration has been put in force. */
 struct ManifestInForce
 {
     std::uint64_t version{};
     std::string hash;
-    /*! @brief Daemon that it came from; empty if it came from the platform or the settings. */
+    /*! @brief Daemon that sent the configuration; empty if it came from the platform or the settings. */
     DaemonId sourceDaemon;
 };
 
-/*! @brief A member is seen in another state than before, for the log. */
+/*! @brief Logs that the known state of a member has changed. */
 struct MemberChanged
 {
     DaemonId id;
     membership::MemberState state{};
 };
 
-/*! @brief Another daemon told that the backend server beside this one leaves, for the log. */
+/*! @brief Logs that another daemon reported the departure of the local backend server. */
 struct DepartureReported
 {
     std::string instance;
 };
 
-/*! @brief This daemon goes on under a higher incarnation; what it sends from now on must bear it. */
+/*! @brief Reports that this daemon has raised its incarnation; all later messages must carry the new one. */
 struct IncarnationRaised
 {
     Incarnation from;
     Incarnation to;
 };
 
-/*! @brief Nothing is in flight any more at a daemon that drains. */
+/*! @brief Reports that a draining daemon has nothing in flight any more. */
 struct Drained
 {
 };
--- a/src/egretlatch/decision/configuration_outlet.hpp
+++ b/src/egretlatch/decision/configuration_outlet.hpp
@@ -7,14 +7,14 @@
 namespace egretlatch::decision
 {
 
-/*! @brief Turns what the configuration decides into actions of the core. */
+/*! @brief Translates the output of the configuration follower into actions of the core. */
 class ConfigurationOutlet final : public configuration::Outlet
 {
 public:
     /**
      * @brief Builds an outlet.
-     * @param surroundings State of the core; must outlive the outlet.
-     * @param contacts Daemons to turn to while the roster knows none of them.
+     * @param context State of the core; must outlive the outlet.
+     * @param contacts Daemons to use as peers while the roster has none.
      */
     ConfigurationOutlet(CoreContext &context, std::vector<configuration::Peer> contacts);
 
--- a/src/egretlatch/decision/core.cpp
+++ b/src/egretlatch/decision/core.cpp
@@ -10,8 +10,8 @@
 namespace internal
 {
 
-// Queues are looked through so often. With nothing waiting only deadlines of runs are left, which the daemons that wait for
-// them keep to the millisecond themselves.
+// Tick interval while requests wait in the queue. With an empty queue only the deadlines of runs are left, which the daemons
+// waiting for those runs enforce to the millisecond themselves.
 constexpr std::chrono::milliseconds queueTickInterval{10};
 constexpr std::chrono::milliseconds runTickInterval{50};
 constexpr std::chrono::milliseconds idleTickInterval{100};
@@ -32,7 +32,7 @@
 {
     const SteadyTime now = m_context->clock.steadyNow();
     m_context->actions.clear();
-    // A process that stood still reads what came meanwhile before its timers.
+    // After a stall, queued events are handled before the timer fires; check drain deadlines first.
     tickDrain(now);
     dispatch(event, now);
     if (m_declared != m_context->manifest) {
@@ -217,7 +217,7 @@
 {
     m_entry->tick(now);
     m_serving->tick(now);
-    // A queue and the deadlines of calls are looked at many times a second; the fleet changes in steps of tens of milliseconds.
+    // The queue and call deadlines need frequent checks; the fleet state changes only every few tens of milliseconds.
     if (now - m_lastFleetTick >= internal::fleetTickInterval) {
         m_lastFleetTick = now;
         tickFleet(now);
@@ -255,8 +255,8 @@
         m_goneAnnouncedAt = now;
         updateSelf(membership::MemberState::gone, {}, 0, 0, now);
     }
-    // The process ends at once when it is told to, and what has not left it by then is lost with it. Others would then
-    // take a daemon that left for one that died, so its word gets time to leave.
+    // The process exits as soon as it reports that it is drained, and unsent messages are lost. Other daemons would then
+    // take the departure for a crash, so the announcement gets time to be sent.
     if (now - *m_goneAnnouncedAt >= internal::departureSpreadTime) {
         m_hasReportedDrained = true;
         m_context->actions.emplace_back(Drained{});
--- a/src/egretlatch/decision/core.hpp
+++ b/src/egretlatch/decision/core.hpp
@@ -21,36 +21,36 @@
 {
 
 /**
- * @brief All decisions of one daemon: events in, actions out.
+ * @brief Decision core of one daemon: turns events into actions.
  *
- * Does no input or output, starts no thread and reads no clock but the one it is given, so the same events with the
- * same seed give the same actions. Not safe to use from several threads.
+ * Does no I/O, starts no thread and reads only the injected clock, so the same events with the same seed produce the
+ * same actions. Not thread-safe.
  */
 class Core
 {
 public:
     /**
-     * @brief Takes an event.
-     * @param event What happened.
-     * @return What is to be done, in this order.
+     * @brief Handles an event.
+     * @param event The event.
+     * @return The actions to execute, in this order.
      */
     [[nodiscard]] Actions handle(const Event &event);
 
     /**
-     * @brief Gives the time at which a Tick is needed.
+     * @brief Returns the time at which the next Tick is due.
      * @return The time, at most one tick interval away.
      */
     [[nodiscard]] SteadyTime nextTick() const;
 
     /**
-     * @brief Gives what this daemon may still spend of the fleet's retries.
-     * @return Retries left, by service that retries were made towards.
+     * @brief Returns this daemon's remaining part of the fleet's retry budget.
+     * @return Retries left, by called service.
      */
     [[nodiscard]] std::map<std::string, double> retriesLeft() const;
 
     /**
-     * @brief Gives the members that this daemon knows.
-     * @return This daemon first.
+     * @brief Returns the known members.
+     * @return The roster; this daemon comes first.
      */
     [[nodiscard]] const membership::Roster &roster() const noexcept
     {
@@ -62,27 +62,27 @@
         return m_context->manifestVersion;
     }
 
-    /*! @brief The configuration in force; null for none. */
+    /*! @brief Returns the configuration in force; null for none. */
     [[nodiscard]] std::shared_ptr<const manifest::Manifest> manifest() const
     {
         return m_context->manifest;
     }
 
     /**
-     * @brief Gives what this daemon knows of the configurations in force.
+     * @brief Returns the configuration versions known to be in force in the fleet.
      * @return A report for operators.
      */
     [[nodiscard]] configuration::Report configurationReport() const;
 
     [[nodiscard]] admission::LoadReport load() const;
 
-    /*! @brief What the level of the server beside is decided by, for logs. */
+    /*! @brief Returns the figures that determine the admission level of the local server, for logs. */
     [[nodiscard]] std::vector<account::Figure> levelFigures() const;
 
     /**
-     * @brief Says whether a backend server has said that it leaves.
+     * @brief Checks for a reported departure of a backend server.
      * @param instance Its instance name.
-     * @return True if it has; it takes no more work under that name.
+     * @return True if its departure is known; it gets no more work under that name.
      */
     [[nodiscard]] bool hasLeft(const std::string &instance) const
     {
@@ -126,142 +126,142 @@
     std::unique_ptr<EntryHandler> m_entry;
     std::unique_ptr<ConfigurationOutlet> m_configurationOutlet;
     std::unique_ptr<configuration::Follower> m_configuration;
-    /*! @brief A source of its own, so that calls draw the same numbers whatever the daemons tell one another. */
+    /*! @brief Separate source, so that gossip does not change the random numbers drawn for calls. */
     std::unique_ptr<RandomSource> m_gossipRandom;
     std::unique_ptr<membership::Gossip> m_gossip;
     /*! @brief Null without a platform. */
     std::unique_ptr<membership::ContactBook> m_contactBook;
     std::optional<store::RequestId> m_contactRequest;
-    /*! @brief What the backend server said last; nothing if there is none. */
+    /*! @brief Last announcement of the backend server; empty if there is no server. */
     std::optional<ServerAnnounced> m_server;
     membership::Departures m_departures;
     SteadyTime m_lastAnnounced;
     SteadyTime m_lastFleetTick;
     bool m_isDraining{};
-    /*! @brief Whether the daemon was told to end. */
+    /*! @brief Set once the daemon has received the signal to end. */
     bool m_isSignalled{};
     DrainTimes m_drainTimes;
-    /*! @brief When a backend server that leaves gets no more requests; nothing while it does not leave, or once it gets none. */
+    /*! @brief Time at which a draining backend server stops accepting requests; empty if it is not draining or has already stopped. */
     std::optional<SteadyTime> m_stopAcceptingAt;
-    /*! @brief When what still waits for a slot of such a server is refused. */
+    /*! @brief Time at which requests still waiting for a slot of such a server are refused. */
     std::optional<SteadyTime> m_lastStartAt;
     bool m_isShuttingDown{};
     std::optional<SteadyTime> m_goneAnnouncedAt;
     bool m_hasReportedDrained{};
-    /*! @brief Configuration that the gate's service was last declared from; null for none. */
+    /*! @brief Configuration that last set the service declaration of the gate; null for none. */
     std::shared_ptr<const manifest::Manifest> m_declared;
 };
 
-/*! @brief Puts a core together. */
+/*! @brief Builds a decision core. */
 class CoreBuilder
 {
 public:
     /**
-     * @brief Starts with what no core can do without.
+     * @brief Starts with the mandatory dependencies.
      * @param clock Source of time; must outlive the core.
      * @param random Source of random numbers; must outlive the core.
-     * @param metrics Takes the core's numbers; must outlive the core.
+     * @param metrics Receives the metrics of the core; must outlive the core.
      */
     CoreBuilder(const Clock &clock, RandomSource &random, account::MetricsSink &metrics);
 
     /**
-     * @brief Sets the daemon's own entry.
-     * @param self Its id, incarnation, endpoint and place.
+     * @brief Sets the daemon's own roster entry.
+     * @param self Its id, incarnation, endpoint and location.
      * @return This builder.
      */
     CoreBuilder &setSelf(membership::Member self);
 
     /**
-     * @brief Adds a daemon to turn to at the start.
+     * @brief Adds a daemon to contact at startup.
      * @param contact Its id and endpoint.
      * @return This builder.
      */
     CoreBuilder &addContact(membership::Contact contact);
 
     /**
-     * @brief Sets how servers are chosen.
+     * @brief Sets the selection of servers.
      * @param router The router; by default the least loaded of two.
      * @return This builder.
      */
     CoreBuilder &setRouter(std::unique_ptr<routing::Router> router);
 
     /**
-     * @brief Sets how roots are let in.
-     * @param entryControl The control; by default every root is let in.
+     * @brief Sets the admission of roots.
+     * @param entryControl The control; by default every root is admitted.
      * @return This builder.
      */
     CoreBuilder &setEntryControl(std::unique_ptr<admission::EntryControl> entryControl);
 
     /**
-     * @brief Sets what the backend server runs.
+     * @brief Sets the admission control of the backend server.
      * @param gate The gate; by default a static limit.
      * @return This builder.
      */
     CoreBuilder &setGate(std::unique_ptr<admission::Gate> gate);
 
     /**
-     * @brief Takes configurations from the platform, and from daemons that do; by default none are looked for.
+     * @brief Follows configurations from the platform, and from daemons that do; off by default.
      * @return This builder.
      */
     CoreBuilder &followPlatform();
 
     /**
-     * @brief Takes configurations from ManifestAccepted events and from other daemons, not from the store.
+     * @brief Follows configurations from ManifestAccepted events and from other daemons instead of the store.
      * @return This builder.
      */
     CoreBuilder &setConfigurationFeed();
 
     /**
-     * @brief Sets how attempts are made.
+     * @brief Sets the rules for attempts.
      * @param rules The rules.
      * @return This builder.
      */
     CoreBuilder &setEntryRules(const EntryRules &rules);
 
     /**
-     * @brief Sets how long a leaving backend server takes requests of daemons that do not know yet.
-     * @param times The times; by default none at all.
+     * @brief Sets the time for which a draining backend server accepts requests of daemons that have not learned of the drain.
+     * @param times The times; zero by default.
      * @return This builder.
      */
     CoreBuilder &setDrainTimes(const DrainTimes &times);
 
     /**
-     * @brief Sets what is done with keys that name no owner.
+     * @brief Sets the handling of keys that name no owner.
      * @param unownedKeys The rule; by default they are refused.
      * @return This builder.
      */
     CoreBuilder &setUnownedKeys(retry::UnownedKeys unownedKeys);
 
     /**
-     * @brief Sets what the transport between daemons does with messages to a daemon that starts again.
-     * @param delivery What it does; by default a message may reach several lives.
+     * @brief Sets the guarantee of the transport for messages to a daemon that restarts.
+     * @param delivery The guarantee; by default a message may reach several incarnations.
      * @return This builder.
      */
     CoreBuilder &setDelivery(Delivery delivery);
 
     /**
-     * @brief Lets the daemon go on under a higher incarnation, told by IncarnationRaised, where its earlier life had one that overrules it.
+     * @brief Allows the daemon to raise its incarnation, reported by IncarnationRaised, if its previous one supersedes the current one.
      * @return This builder.
      */
     CoreBuilder &allowRaise();
 
     /**
-     * @brief Lets the platform's table tell the owners of keys that carry a time; without this, it is not asked.
-     * @param times Lengths of the grants.
+     * @brief Enables ownership of timestamped keys through grants in the platform's table; by default the table is not queried.
+     * @param times Durations of the grants.
      * @return This builder.
      */
     CoreBuilder &setKeyGrants(retry::GrantTimes times);
 
     /**
-     * @brief Sets how much is remembered of request keys.
-     * @param limits The bounds.
+     * @brief Sets the size of the key ledgers.
+     * @param limits The limits.
      * @return This builder.
      */
     CoreBuilder &setKeyLedgerLimits(retry::KeyLedgerLimits limits);
 
     /**
      * @brief Builds the core.
-     * @return The core; the builder is used up.
+     * @return The core; the builder must not be used again.
      */
     [[nodiscard]] std::unique_ptr<Core> build();
 
--- a/src/egretlatch/decision/core_builder.cpp
+++ b/src/egretlatch/decision/core_builder.cpp
@@ -11,13 +11,13 @@
 {
 
 constexpr std::size_t defaultQueueCapacity = 1000;
-// A daemon whose call to the store has gone silent learns of a configuration from others alone, and has two seconds for it.
-// Every daemon of a fleet of up to seventeen is told at once by each that has it, and hears of it five times a second after
-// that, in place of twice.
+// A daemon whose connection to the store is silent learns of a configuration only from other daemons, and has two seconds to
+// do so. With this fanout, in a fleet of up to 17 daemons each one that has the configuration advertises it to all others at
+// once; with this interval, a daemon receives five adverts per second after that instead of two.
 constexpr std::size_t fedFanout = 16;
 constexpr std::chrono::milliseconds fedAdvertInterval{400};
-// A peer answers in milliseconds; with half a second for it and a turn of a store that is not asked here, one lost answer
-// cost 0.7 s of the two.
+// A peer answers within milliseconds. With a timeout of 500 ms, and a turn for the store, which is not queried here, one
+// lost answer cost 0.7 s of the two seconds.
 constexpr std::chrono::milliseconds fedBodyTimeout{150};
 
 } // namespace internal
--- a/src/egretlatch/decision/core_context.cpp
+++ b/src/egretlatch/decision/core_context.cpp
@@ -27,7 +27,7 @@
 
 void CoreContext::putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &configuration, const DaemonId &sourceDaemon)
 {
-    // A configuration that arrives late, or again, must not undo a newer one, so only a higher version is taken.
+    // A configuration that arrives late or repeatedly must not replace a newer one, so only a higher version is accepted.
     const bool isOutdated = manifest != nullptr && version <= manifestVersion;
     if (isOutdated) {
         return;
--- a/src/egretlatch/decision/core_context.hpp
+++ b/src/egretlatch/decision/core_context.hpp
@@ -20,7 +20,7 @@
 namespace egretlatch::decision
 {
 
-/*! @brief What both halves of the decision core share; owned by the core. */
+/*! @brief State shared by the entry and serving handlers; owned by the core. */
 struct CoreContext
 {
     const Clock &clock;
@@ -37,18 +37,18 @@
     std::uint64_t manifestVersion{};
     retry::UnownedKeys unownedKeys{};
     Delivery delivery{};
-    /*! @brief When this life began; ages of keys are counted from here. */
+    /*! @brief Start of this incarnation; key ages are measured from here. */
     SteadyTime startedAt;
-    /*! @brief What the event at hand has led to so far. */
+    /*! @brief Actions produced by the current event so far. */
     Actions actions;
     store::RequestId lastPlatformRequest;
 
     /**
-     * @brief Mints a refusal in the name of this daemon.
-     * @param reason Why.
+     * @brief Creates a refusal issued by this daemon.
+     * @param reason Reason of the refusal.
      * @param rule The rule that refused.
-     * @param figures The observed numbers that it rests on.
-     * @param retryAfter When to come back.
+     * @param figures Observed figures that the decision is based on.
+     * @param retryAfter Delay after which a retry makes sense.
      * @return The refusal, with an id of its own.
      */
     [[nodiscard]] account::Refusal
@@ -63,16 +63,16 @@
     [[nodiscard]] const manifest::KindSpec *findKind(const std::string &service, const std::string &kind) const;
 
     /**
-     * @brief Puts a configuration in force, whole, unless the same or a newer one is.
-     * @param version Its version; zero for a manifest of the settings that any accepted one replaces.
+     * @brief Puts a configuration in force as a whole, unless the same or a newer one already is.
+     * @param version Its version; zero for a manifest from the settings, which any accepted one replaces.
      * @param configuration The manifest.
-     * @param bringer Daemon that it came from; empty if it came from the platform or the settings.
+     * @param sourceDaemon Daemon that sent it; empty if it came from the platform or the settings.
      */
     void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &configuration, const DaemonId &sourceDaemon = {});
 
     /**
-     * @brief Asks the platform.
-     * @param request What is asked.
+     * @brief Sends a request to the platform.
+     * @param request The request.
      * @return The id that the answer will carry.
      */
     [[nodiscard]] store::RequestId askPlatform(store::Request request);
--- a/src/egretlatch/decision/core_server.cpp
+++ b/src/egretlatch/decision/core_server.cpp
@@ -18,9 +18,9 @@
 {
     m_lastAnnounced = now;
     m_context->metrics.count("announcements", announced.service);
-    // A server goes on announcing itself while it drains, which must not put it back to work; nor must it once it has
-    // been silent for a while and wakes. Another process in its place is a server of its own, known by its instance name,
-    // or, without a name, by the silence before it.
+    // A draining server keeps announcing itself, which must not return it to service, not even after a pause in its
+    // announcements. A replacement process is a new server: it has another instance name or, without names, follows such
+    // a pause.
     const bool isDrained = announced.instance.empty() ? m_isDraining && isServerUnnamed() : hasLeft(announced.instance);
     if (m_isSignalled || isDrained || m_server == announced) {
         return;
@@ -46,7 +46,7 @@
     if (draining.isShutdown) {
         m_isShuttingDown = true;
         m_entry->drain();
-        // What came by the door later than callers are served would outlast the process.
+        // Requests accepted after callers are no longer served would outlast the process.
         if (m_stopAcceptingAt.has_value()) {
             m_stopAcceptingAt = now;
             tickDrain(now);
@@ -58,7 +58,7 @@
         return;
     }
     if (m_isDraining) {
-        // The server's own word, after the signal, may leave it less time.
+        // The server's own report, after the signal, can shorten the remaining time.
         if (m_stopAcceptingAt.has_value() && !isDaemonShutdown) {
             m_stopAcceptingAt = std::min(*m_stopAcceptingAt, now + m_drainTimes.afterReport);
             limitLastStart(now);
@@ -82,7 +82,8 @@
     const bool isCurrentServer = instance.empty() || (m_server.has_value() && m_server->instance == instance);
     const std::string &name = instance.empty() && m_server.has_value() ? m_server->instance : instance;
     if (!name.empty() && m_departures.note(name)) {
-        // At once, and before the server gets its acknowledgement: it binds also a life of this daemon that begins right after.
+        // Sent immediately, before the server gets its acknowledgement, so that it also binds an incarnation of this daemon that
+        // starts right after.
         m_gossip->spread(makeDepartureRumour(m_context->self, name), now);
         m_gossip->announceSelf(now);
         applyGossip(now);
@@ -99,7 +100,8 @@
     if (!m_server.has_value() || m_server->instance != instance) {
         return;
     }
-    // An earlier life of this daemon acknowledged it, nobody knows here how long ago.
+    // A previous incarnation of this daemon acknowledged the departure at an unknown time, so this one stops accepting
+    // requests immediately.
     m_isDraining = true;
     m_stopAcceptingAt = now;
     m_lastStartAt = now;
@@ -123,8 +125,8 @@
 
 void Core::tickServer(const SteadyTime now)
 {
-    // A backend server that dies says nothing, and its daemon would go on offering its slots: callers would see one
-    // refused connection after the other. It is taken for gone once its announcements stop.
+    // A backend server that crashes reports nothing, and its daemon would keep offering its slots: callers would see one
+    // refused connection after another. The server counts as gone once its announcements stop.
     const bool isServerExpected = m_server.has_value() || (m_isDraining && !m_isSignalled);
     if (isServerExpected && now - m_lastAnnounced >= internal::announcementTimeout) {
         m_context->metrics.count("membership", "server-silent");
--- a/src/egretlatch/decision/crash_detector.cpp
+++ b/src/egretlatch/decision/crash_detector.cpp
@@ -6,9 +6,9 @@
 namespace internal
 {
 
-// The next request after a crash comes within this time at all but an idle server, where a crash hurts least.
+// After a crash the next request arrives within this time, except at an idle server, where a crash matters least.
 constexpr std::chrono::seconds maxConnectFailureDelay{2};
-// A server that crashed is back within some seconds.
+// A crashed server is back within a few seconds.
 constexpr std::chrono::seconds maxRestartTime{10};
 
 } // namespace internal
--- a/src/egretlatch/decision/crash_detector.hpp
+++ b/src/egretlatch/decision/crash_detector.hpp
@@ -11,32 +11,32 @@
 {
 
 /**
- * @brief Tells a crash of the backend server from single lost answers.
+ * @brief Distinguishes a crash of the backend server from single lost answers.
  *
- * A server that crashes breaks all connections and then takes none, and comes back as another instance, while one that
- * loses answers goes on.
+ * A crash breaks all connections; the server then accepts none and returns as another instance. A server that only loses
+ * answers keeps running.
  */
 class CrashDetector
 {
 public:
     /**
-     * @brief Takes a run whose connection broke before its answer.
+     * @brief Records a run whose connection broke before its answer.
      * @param request The request.
      * @param now Current time.
      */
     void noteLostRun(admission::RequestFingerprint request, SteadyTime now);
 
     /**
-     * @brief Takes a run for which the server took no connection.
+     * @brief Records a run for which the server accepted no connection.
      * @param now Current time.
-     * @return What ran when the server crashed; empty if it did not crash just now.
+     * @return Requests that were running when the server crashed; empty if no new crash is detected.
      */
     [[nodiscard]] std::vector<admission::RequestFingerprint> noteConnectFailure(SteadyTime now);
 
     /**
-     * @brief Takes that another instance is in the server's place, without a word of the one before that it would leave.
+     * @brief Records that another instance replaced the server, which had not reported a departure.
      * @param now Current time.
-     * @return What ran when the server crashed; empty if that was told already, or nothing was lost.
+     * @return Requests that were running when the server crashed; empty if the crash was already reported, or no run was lost.
      */
     [[nodiscard]] std::vector<admission::RequestFingerprint> noteReplacement(SteadyTime now);
 
--- a/src/egretlatch/decision/crash_report.hpp
+++ b/src/egretlatch/decision/crash_report.hpp
@@ -11,35 +11,35 @@
 namespace egretlatch::decision
 {
 
-/*! @brief What daemons tell one another of requests that crash backend servers. */
+/*! @brief Report on requests that may crash backend servers, shared between daemons as a rumour. */
 struct CrashReport
 {
     membership::Rumour rumour;
 
     /**
-     * @brief Makes the news of a crash.
-     * @param daemon The daemon beside the server.
-     * @param incarnation Its life.
-     * @param number Number of the news within that life.
-     * @param running What ran at the server.
-     * @return The news.
+     * @brief Builds the report of a crash.
+     * @param daemon The daemon on the server's VM.
+     * @param incarnation Its incarnation.
+     * @param number Sequence number of the report within that incarnation.
+     * @param running Requests that were running at the server.
+     * @return The report.
      */
     [[nodiscard]] static CrashReport
     forCrash(const DaemonId &daemon, Incarnation incarnation, std::uint64_t number, const std::vector<admission::RequestFingerprint> &running);
 
     /**
-     * @brief Makes the news that a suspect request ran well.
-     * @param daemon The daemon beside the server.
-     * @param incarnation Its life.
-     * @param number Number of the news within that life.
+     * @brief Builds the report of a suspect request that ran without a crash.
+     * @param daemon The daemon on the server's VM.
+     * @param incarnation Its incarnation.
+     * @param number Sequence number of the report within that incarnation.
      * @param request The request.
-     * @return The news.
+     * @return The report.
      */
     [[nodiscard]] static CrashReport forSuccess(const DaemonId &daemon, Incarnation incarnation, std::uint64_t number, admission::RequestFingerprint request);
 
     /**
-     * @brief Takes the news into what is known.
-     * @param suspects What is known.
+     * @brief Applies the report to the known suspects.
+     * @param suspects The suspects to update.
      * @param now Current time.
      */
     void apply(admission::CrashSuspects &suspects, SteadyTime now) const;
--- a/src/egretlatch/decision/delivery.hpp
+++ b/src/egretlatch/decision/delivery.hpp
@@ -4,11 +4,11 @@
 namespace egretlatch::decision
 {
 
-/*! @brief How many lives of a daemon a message between daemons may reach. */
+/*! @brief Limits the incarnations of a daemon that one message may reach. */
 enum class Delivery {
-    /*! @brief What an earlier life was given may come to a later one too. */
+    /*! @brief A message delivered to one incarnation may be delivered to a later one again. */
     severalIncarnations,
-    /*! @brief A message is given to one connection once, and that ends with the life that took it. */
+    /*! @brief A message is written to one connection once, and the connection ends with the incarnation that accepted it. */
     oneIncarnation,
 };
 
--- a/src/egretlatch/decision/departure_rumour.cpp
+++ b/src/egretlatch/decision/departure_rumour.cpp
@@ -6,7 +6,7 @@
 namespace internal
 {
 
-// Longer than a server stays that has said that it leaves, and than a heartbeat of its may be held up.
+// Longer than a departing server keeps running, and than one of its heartbeats may be delayed.
 constexpr std::chrono::seconds departureLifetime{120};
 
 } // namespace internal
--- a/src/egretlatch/decision/departure_rumour.hpp
+++ b/src/egretlatch/decision/departure_rumour.hpp
@@ -11,20 +11,20 @@
 {
 
 /**
- * @brief Makes the news that a backend server leaves.
+ * @brief Builds the rumour of a backend server's departure.
  *
- * The others keep it for the daemon beside that server, which may start again before the server has ended.
- * @param daemon The daemon beside the server.
+ * Other daemons keep it for the daemon on the server's VM, which may restart before the server has stopped.
+ * @param daemon The daemon on the server's VM.
  * @param instance Instance name of the server.
- * @return The news.
+ * @return The rumour.
  */
 [[nodiscard]] membership::Rumour makeDepartureRumour(const DaemonId &daemon, const std::string &instance);
 
 /**
- * @brief Reads the news that a backend server leaves.
- * @param rumour The news.
- * @param daemon The daemon that reads it.
- * @return Instance name of the server; nothing if the server is beside another daemon.
+ * @brief Reads the rumour of a backend server's departure.
+ * @param rumour The rumour.
+ * @param daemon The daemon that received it.
+ * @return Instance name of the server; empty if the rumour is not a departure, or concerns the server of another daemon.
  */
 [[nodiscard]] std::optional<std::string> departedInstance(const membership::Rumour &rumour, const DaemonId &daemon);
 
--- a/src/egretlatch/decision/drain_times.hpp
+++ b/src/egretlatch/decision/drain_times.hpp
@@ -7,19 +7,19 @@
 {
 
 /**
- * @brief How long a backend server that leaves still gets new requests.
+ * @brief Times for which a draining backend server still accepts new requests.
  *
- * Its daemon says at once that it leaves, and others stop choosing it as they hear of it. Closed at the same moment, its
- * door would turn away what they had sent meanwhile, and a service whose last server leaves would have none sooner than
- * it must.
+ * Its daemon announces the drain immediately, and other daemons stop routing to it as they learn of it. Refusing at the same
+ * moment would turn away requests sent in the meantime, and a service whose last server drains would be unavailable
+ * earlier than necessary.
  */
 struct DrainTimes
 {
-    /*! @brief From the server's own word. */
+    /*! @brief Accepting time after the server's own drain report. */
     Duration afterReport{};
-    /*! @brief From the signal that ends its daemon; the server itself stays. */
+    /*! @brief Accepting time after the signal that ends its daemon; the server itself keeps running. */
     Duration afterSignal{};
-    /*! @brief From the server's own word to the last start of what has waited at its door; zero for no such bound. */
+    /*! @brief Time from the server's own drain report to the last start of a waiting request; zero for no limit. */
     Duration lastStart{};
 
     friend bool operator==(const DrainTimes &, const DrainTimes &) = default;
--- a/src/egretlatch/decision/entry_answers.cpp
+++ b/src/egretlatch/decision/entry_answers.cpp
@@ -1,4 +1,4 @@
-// The part of EntryHandler that ends calls: what goes to the caller, and what is recorded of it.
+// The part of EntryHandler that ends calls: answers to callers, refusal records and spans.
 
 #include <egretlatch/decision/entry_handler.hpp>
 
@@ -34,7 +34,7 @@
     m_context.metrics.count("answers", toString(answer.verdict));
     m_context.metrics.observe("call_duration", answer.service, now - pending.arrived);
     recordSpan(pending, answer, now);
-    // What is refused on behalf of another daemon is recorded there, where the caller is.
+    // A refusal of a forwarded call is recorded at the forwarding daemon, where the caller is connected.
     if (answer.refusal.has_value() && std::holds_alternative<ExchangeId>(pending.requester)) {
         recordRefusal(pending, answer);
     }
--- a/src/egretlatch/decision/entry_attempts.cpp
+++ b/src/egretlatch/decision/entry_attempts.cpp
@@ -1,4 +1,4 @@
-// The part of EntryHandler that makes attempts: where they go, what their ends lead to, and what bounds them.
+// The part of EntryHandler that makes attempts: routing, outcomes, retries and their limits.
 
 #include <egretlatch/decision/entry_handler.hpp>
 
@@ -15,7 +15,7 @@
 {
 
 constexpr int firstServerError = 500;
-// Another daemon's server is usually known by then: deaths are known everywhere within about a second.
+// Another daemon's server is usually known by then: crashes are known fleet-wide within about a second.
 constexpr std::chrono::milliseconds retryAfterNoServer{500};
 
 } // namespace internal
@@ -39,8 +39,8 @@
     pending.tried.insert(*server);
     pending.attemptTrace = m_rules.traces ? account::childOf(pending.trace, m_context.random) : account::TraceContext{};
     pending.sentAt = now;
-    // What is lent may have been spent by a daemon that is then lost without an answer, so it counts as spent. One attempt
-    // stays here, or a read at a daemon that fails could not be made again elsewhere.
+    // Lent attempts may be used by a daemon that is then lost without an answer, so they count as used until returned. One
+    // attempt is retained here; otherwise a read at a failing daemon could not be retried elsewhere.
     const int retained = m_rules.countsOnlyArrivals ? pending.attemptsLeft : std::min(pending.attemptsLeft, 1);
     pending.attemptsOut = pending.attemptsLeft - retained;
     pending.attemptsLeft = retained;
@@ -95,8 +95,9 @@
     if (!m_rules.countsOnlyArrivals || answer.verdict != Verdict::notRun || answer.hasReachedServer || pending.deadline <= now || !answer.refusal.has_value()) {
         return false;
     }
-    // The request reached no backend server, so trying the next daemon is no retry: nothing multiplies down the chain.
-    // A daemon that is full is left once, since another may be nearly empty; when all are full, asking each is waste.
+    // The request reached no backend server, so trying another daemon is not a retry: load does not multiply down the chain.
+    // A call moves on from a full daemon only once: another may be nearly empty, but when all are full, trying each of them
+    // is wasted work.
     switch (answer.refusal->reason) {
     case account::RefusalReason::draining:
     case account::RefusalReason::noServer:
@@ -111,8 +112,8 @@
 
 bool EntryHandler::mayTryElsewhere(const Pending &pending, const protocol::CallAnswer &answer, const SteadyTime now)
 {
-    // A backend server that fails part of its requests while it looks healthy is told by a failure that no inner call
-    // brought about: there another server may do better, while a failure from below would only be repeated.
+    // A failure not caused by an inner call indicates a backend server that fails some of its requests while it reports
+    // itself healthy. Another server may succeed, while a failure from a service below would only recur.
     const bool hasFailedHere = answer.verdict == Verdict::completed && answer.status == internal::firstServerError && !answer.hasFailedBelow;
     if (!m_rules.countsOnlyArrivals || !hasFailedHere || !pending.idempotent || pending.attemptsLeft <= 0) {
         return false;
@@ -140,10 +141,10 @@
         return false;
     }
     if (m_rules.countsOnlyArrivals && answer.verdict == Verdict::notRun && answer.hasReachedServer) {
-        // One server had no room in its queue; the gate of another one may know of some.
+        // The backend server rejected the request for lack of room; another one may have capacity.
         return takeRetry(pending, answer, now);
     }
-    // A refusal for overload is not retried: it would add load where there is too much, and multiply with each hop.
+    // A refusal for overload is not retried: a retry would add load to an overloaded service, and multiply with each hop.
     const account::RefusalReason reason = answer.refusal->reason;
     const bool isRetryable =
         reason == account::RefusalReason::serverLost || reason == account::RefusalReason::draining || reason == account::RefusalReason::noServer;
@@ -158,7 +159,7 @@
     pending.isRepeat = true;
     m_context.metrics.count("retries", pending.call.service);
     pending.phase = Phase::backingOff;
-    // A wait that outlasts the deadline ends there; no attempt is out then, so the verdict stays as it is.
+    // A backoff that exceeds the deadline ends there; no attempt is in flight then, so the verdict is unchanged.
     const SteadyTime wakeAt = std::min(now + wait, pending.deadline);
     addPending({++m_lastCall}, std::move(pending), wakeAt);
 }
@@ -204,8 +205,8 @@
 
 void EntryHandler::shareRetrySlack()
 {
-    // Daemons agree on nothing: each takes its part of what the fleet may repeat, so the sum stays within the whole. A
-    // daemon that knows few others would take too much, so it takes none before it knows some.
+    // Without any agreement between daemons, each takes an equal part of the fleet's retry slack, so the sum stays within the
+    // total. A daemon that knows too few others would take too much, so it takes none until it knows at least one.
     const std::size_t daemons = m_context.roster.participants().size() + 1;
     if (m_rules.retrySlack.has_value() && daemons != m_fleetSize) {
         m_fleetSize = daemons;
--- a/src/egretlatch/decision/entry_handler.cpp
+++ b/src/egretlatch/decision/entry_handler.cpp
@@ -32,7 +32,7 @@
         return answer.status >= firstServerError ? routing::AttemptOutcome::failed : routing::AttemptOutcome::answered;
     }
     if (answer.hasReachedServer) {
-        // The server itself turned it away although its daemon had a slot for it: a failure of that server.
+        // The server itself rejected the request although its daemon had a free slot: a failure of that server.
         return routing::AttemptOutcome::failed;
     }
     return answer.refusal->reason == account::RefusalReason::serverLost ? routing::AttemptOutcome::lost : routing::AttemptOutcome::refused;
@@ -68,7 +68,7 @@
 void EntryHandler::answerRequestError(const ExchangeId exchange, const CallerCall &call, const int status, std::string requestError)
 {
     CallerAnswer answer;
-    // An earlier attempt with the key may have been made where the mistake was not one, or not seen.
+    // An earlier attempt with the key may have run at a daemon that did not consider or detect this as an error.
     answer.verdict = retry::verdictUnread(call.key);
     answer.status = status;
     answer.service = call.service;
@@ -113,13 +113,13 @@
 
 void EntryHandler::admit(Pending pending, const SteadyTime now)
 {
-    // A key that this daemon owns is run by no other, so only its own calls are let in while it leaves.
+    // No other daemon runs a key that this one owns, so while it shuts down it still admits calls with such keys.
     if (m_isDraining && pending.depth == 0 && !pending.holdsKey) {
         finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::draining, "the entry daemon is leaving"), now);
         return;
     }
     if (isQuarantined(pending, now)) {
-        // Refused with a long wait: it is let in again once its crashes are forgotten.
+        // Refused with a long retry delay: such requests are admitted again once the crashes have expired.
         finishRefused(std::move(pending),
                       m_context.refuse(
                           account::RefusalReason::quarantined, "requests like this one have crashed three backend servers", {}, internal::retryAfterQuarantine),
@@ -161,7 +161,7 @@
     pending.requester = arrived.exchange;
     pending.call = call;
     pending.idempotent = kind.idempotent;
-    // Who owns the key of an idempotent kind is not asked, so nothing is known of its other attempts.
+    // The key owner of an idempotent kind is not consulted, so nothing is known about other attempts with the key.
     pending.knowledge = call.key.empty() ? retry::KeyKnowledge::noKey : retry::KeyKnowledge::none;
     pending.arrived = now;
     pending.deadline = now + call.timeout.value_or(kind.deadline);
@@ -219,8 +219,8 @@
         return;
     }
     const auto pending = m_pending.find(found->second);
-    // A run with a key goes on without its caller: cut off, it would end as may-have-run, and the caller's resend, which
-    // is to be expected, could not be answered with what became of it.
+    // A run with a key continues without its caller: aborted, it would end as may-have-run, and the caller's expected resend
+    // could not be answered with its result.
     if (pending->second.holdsKey) {
         m_byExchange.erase(found);
         return;
@@ -243,8 +243,8 @@
 
 void EntryHandler::handleAnswer(const DaemonId &from, const protocol::CallAnswer &answer, const SteadyTime now)
 {
-    // An answer can come late, twice, from another daemon or for an earlier life of this one. Taken for a newer call it
-    // would give one caller another caller's answer. Call ids are unique within an incarnation, and each is expected
+    // An answer can arrive late, twice, from another daemon or for a previous incarnation of this one. Matched to a newer call
+    // it would give one caller another caller's answer. Call ids are unique within an incarnation, and each answer is expected
     // from one daemon only, so all three must match.
     const auto found = m_pending.find(answer.call);
     const bool isExpected = found != m_pending.end() && (found->second.phase == Phase::attempting || found->second.phase == Phase::forwarded);
@@ -304,7 +304,7 @@
     answer.status = account::httpStatus(answer.refusal->reason);
     const auto found = m_pending.find(failed.call);
     if (found != m_pending.end()) {
-        // That the owner of a key could not be asked says nothing of the attempts made with the key.
+        // Failing to reach the owner of a key proves nothing about earlier attempts with the key.
         const bool isAttempt = found->second.phase == Phase::attempting;
         answer.verdict = isAttempt ? retry::verdictOf(retry::AttemptEnd::neverSent) : Verdict::mayHaveRun;
         answer.attemptsReturned = found->second.attemptsOut;
@@ -314,9 +314,9 @@
 
 void EntryHandler::handlePeerLost(const PeerLost &lost, const SteadyTime now)
 {
-    // The answer to an attempt comes back by the connection that the attempt left by. Once that is lost no answer can
-    // come, and the caller would wait for its whole deadline in vain. Where the connection never opened, each attempt that
-    // did not leave has a SendFailed of its own; a later one may have left by the next connection.
+    // The answer to an attempt returns on the connection that carried the attempt. Once that is lost no answer can arrive,
+    // and the caller would wait until its deadline in vain. If the connection never opened, each unsent attempt has a
+    // SendFailed of its own; a later attempt may have been sent on the next connection.
     if (!lost.wasConnected || lost.daemon == m_context.self) {
         return;
     }
@@ -369,7 +369,7 @@
     const CallId call = found->first;
     Pending pending = removePending(found);
     if (pending.phase != Phase::backingOff) {
-        // An attempt has been sent and not ended: it may be running now, or may be started by a daemon that reads late.
+        // An attempt is in flight: it may be running, or may still be started by a daemon that reads the request late.
         pending.verdict = retry::combine(pending.verdict, retry::verdictOf(retry::AttemptEnd::unanswered));
     }
     if (pending.phase == Phase::attempting) {
--- a/src/egretlatch/decision/entry_handler.hpp
+++ b/src/egretlatch/decision/entry_handler.hpp
@@ -25,75 +25,75 @@
 namespace egretlatch::decision
 {
 
-/*! @brief Takes calls over HTTP, makes attempts at serving daemons, and answers. */
+/*! @brief Accepts calls over HTTP, makes attempts at serving daemons, and answers the callers. */
 class EntryHandler
 {
 public:
     /**
      * @brief Builds the handler.
-     * @param surroundings What it shares with the rest of the core; must outlive it.
-     * @param serving Knows the runs that make inner calls; must outlive it.
-     * @param ledgerLimits How much is remembered of request keys.
-     * @param grants Tells the owners of keys that name none; null without a platform.
+     * @param context State shared with the rest of the core; must outlive the handler.
+     * @param serving Handler of the runs that make inner calls; must outlive this one.
+     * @param ledgerLimits Limits of the key ledgers.
+     * @param grants Resolves the owners of keys that name none; null without a platform.
      */
     EntryHandler(CoreContext &context, ServingHandler &serving, retry::KeyLedgerLimits ledgerLimits, std::unique_ptr<retry::ShardGrants> grants);
 
     /**
-     * @brief Takes a call.
+     * @brief Handles a call.
      * @param arrived The call.
      * @param now Current time.
      */
     void handleArrived(const CallArrived &arrived, SteadyTime now);
 
     /**
-     * @brief Takes a call that another daemon passes on, since this one owns its key.
-     * @param from The daemon that passes it on.
-     * @param incarnation Its life.
+     * @brief Handles a call that another daemon forwards because this one owns its key.
+     * @param from The forwarding daemon.
+     * @param incarnation Its incarnation.
      * @param request The call.
      * @param now Current time.
      */
     void handleForwarded(const DaemonId &from, Incarnation incarnation, const protocol::CallRequest &request, SteadyTime now);
 
     /**
-     * @brief Takes an answer of the platform.
+     * @brief Handles an answer of the platform.
      * @param answered The answer.
      * @param now Current time.
-     * @return True if it was asked for here.
+     * @return True if this handler made the request.
      */
     [[nodiscard]] bool handlePlatform(const PlatformAnswered &answered, SteadyTime now);
 
     /**
      * @brief Mints a request key for a caller.
-     * @param requested The wish.
-     * @param isDraining Whether this daemon is leaving, so that a key of its own would soon have no owner.
+     * @param requested The request for a key.
+     * @param isDraining Set if this daemon is shutting down, so that its keys would soon have no owner.
      * @param now Current time.
      */
     void handleKeyRequested(const KeyRequested &requested, bool isDraining, SteadyTime now);
 
     /**
-     * @brief Takes it that nobody waits for an answer any more.
+     * @brief Handles the disconnection of a caller.
      * @param exchange The exchange.
      * @param now Current time.
      */
     void handleCallerGone(ExchangeId exchange, SteadyTime now);
 
     /**
-     * @brief Cancels the calls of a run whose answer nobody waits for.
+     * @brief Cancels the inner calls of a run whose answer is no longer needed.
      * @param run The run.
      * @param now Current time.
      */
     void cancelInnerCalls(ExecutionId run, SteadyTime now);
 
     /**
-     * @brief Takes the end of an attempt; one that nobody waits for is counted and dropped.
-     * @param from The daemon that answers.
+     * @brief Handles the answer to an attempt; an unexpected one is counted and dropped.
+     * @param from The answering daemon.
      * @param answer The answer.
      * @param now Current time.
      */
     void handleAnswer(const DaemonId &from, const protocol::CallAnswer &answer, SteadyTime now);
 
     /**
-     * @brief Takes it that an attempt never left this daemon.
+     * @brief Handles an attempt that never left this daemon.
      * @param failed The attempt.
      * @param now Current time.
      */
@@ -101,19 +101,19 @@
 
     /**
      * @brief Ends all attempts at a daemon whose connection is lost.
-     * @param lost The daemon, and whether an attempt can have reached it.
+     * @param lost The daemon, and if an attempt can have reached it.
      * @param now Current time.
      */
     void handlePeerLost(const PeerLost &lost, SteadyTime now);
 
     /**
-     * @brief Lets time pass: answers what is past its deadline.
+     * @brief Makes due attempts and answers calls past their deadline.
      * @param now Current time.
      */
     void tick(SteadyTime now);
 
     /**
-     * @brief Sets how attempts are made.
+     * @brief Sets the rules for attempts.
      * @param rules The rules.
      */
     void setRules(const EntryRules &rules)
@@ -121,12 +121,12 @@
         m_rules = rules;
     }
 
-    /*! @brief Refuses all new roots from now on; calls that are under way, and the inner calls of runs, go on. */
+    /*! @brief Refuses all new roots from now on; pending calls and the inner calls of runs continue. */
     void drain();
 
     /**
-     * @brief Gives the time at which a call passes its deadline.
-     * @return The earliest one, or nothing if no call is pending.
+     * @brief Returns the time at which a pending call next needs handling: an attempt or a deadline.
+     * @return The earliest time; empty if no call is pending.
      */
     [[nodiscard]] std::optional<SteadyTime> nextDeadline() const;
 
@@ -142,13 +142,13 @@
 
 private:
     enum class Phase {
-        /*! @brief An attempt is out. */
+        /*! @brief An attempt is in flight. */
         attempting,
-        /*! @brief Waits to make the next attempt; none is out. */
+        /*! @brief Waits to make the next attempt; none is in flight. */
         backingOff,
-        /*! @brief The owner of the key has been asked; it makes the attempts. */
+        /*! @brief Forwarded to the owner of the key, which makes the attempts. */
         forwarded,
-        /*! @brief The same key is being run for someone else; its end is this call's end, too. */
+        /*! @brief Waits for another call with the same key, whose answer also answers this call. */
         joined,
     };
 
@@ -157,14 +157,14 @@
         Requester requester;
         Phase phase{Phase::attempting};
         retry::KeyKnowledge knowledge{};
-        /*! @brief Whether the ledger holds the call's key as running on behalf of this call. */
+        /*! @brief Set if the ledger has the key as running for this call. */
         bool holdsKey{};
-        /*! @brief Whether the key was granted by the table rather than minted by this daemon. */
+        /*! @brief Set if the key was granted by the platform's table rather than minted by this daemon. */
         bool isGranted{};
-        /*! @brief What the keys of inner calls are derived from. */
+        /*! @brief Key from which the keys of inner calls are derived. */
         std::string scope;
         int retries{};
-        /*! @brief Key for a resend, as the owner gave it. */
+        /*! @brief Key for a resend, as returned by the owner. */
         std::string nextKey;
         CallerCall call;
         bool idempotent{};
@@ -172,9 +172,9 @@
         admission::Rank rank;
         admission::RootCosts rootCosts;
         int depth{};
-        /*! @brief A backend server may have had it. */
+        /*! @brief Set if a backend server may already have received the request. */
         bool isRepeat{};
-        /*! @brief Its caller is a run that repeats one, so each of its attempts is a repeat. */
+        /*! @brief Set if the calling run is itself a repeat, which makes each attempt of this call a repeat. */
         bool isCallerRepeat{};
         std::optional<ExecutionId> parent;
         account::TraceContext trace;
@@ -185,7 +185,7 @@
         int attemptsLeft{};
         Duration slotTime{};
         std::set<DaemonId> tried;
-        /*! @brief Verdict on the attempts that have ended. */
+        /*! @brief Combined verdict of the attempts that have ended. */
         Verdict verdict{Verdict::notRun};
         DaemonId server;
         account::TraceContext attemptTrace;
@@ -195,7 +195,7 @@
 
     using PendingMap = std::map<CallId, Pending>;
 
-    /*! @brief Daemons that one call is offered to at most while none of their servers gets it. */
+    /*! @brief Maximum number of daemons tried by one call while no backend server has received it. */
     static constexpr std::size_t maxMoves = 4;
 
     [[nodiscard]] std::optional<std::string> findRequestError(const CallerCall &call, bool isInner) const;
@@ -243,10 +243,10 @@
     ServingHandler &m_serving;
     PendingMap m_pending;
     std::map<ExchangeId, CallId> m_byExchange;
-    /*! @brief Calls that wait for the end of a key that is run for another call. */
+    /*! @brief Calls waiting for another call with the same key, by key. */
     std::map<std::string, std::vector<CallId>> m_joined;
     retry::KeyLedger m_ledger;
-    /*! @brief Keys granted by the table: their ages are calendar times, so they are forgotten apart from the others. */
+    /*! @brief Ledger of keys granted by the platform's table: their ages are wall-clock times, so they expire separately. */
     retry::KeyLedger m_grantedLedger;
     std::unique_ptr<retry::ShardGrants> m_grants;
     SteadyTime m_lastGrants;
@@ -254,7 +254,7 @@
     retry::RatioBudget m_ratio;
     EntryRules m_rules;
     std::size_t m_fleetSize{};
-    /*! @brief When each pending call is to be looked at: its next attempt, or its deadline. */
+    /*! @brief Time at which each pending call needs handling: its next attempt or its deadline. */
     std::set<std::pair<SteadyTime, CallId>> m_wakes;
     std::uint64_t m_lastCall{};
     bool m_isDraining{};
--- a/src/egretlatch/decision/entry_keys.cpp
+++ b/src/egretlatch/decision/entry_keys.cpp
@@ -1,4 +1,4 @@
-// The part of EntryHandler that deals with request keys: who owns one, and what became of it.
+// The part of EntryHandler that handles request keys: their owners and the state of their requests.
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
 constexpr int created = 201;
 constexpr int notFoundStatus = 404;
 
-// Two requests under one key are told apart by everything that the backend server gets to see of them.
+// Distinguishes two requests with one key by everything that the backend server receives of them.
 [[nodiscard]] static std::uint64_t hashOf(const CallerCall &call)
 {
     const std::uint64_t body = XXH3_64bits(call.body.constData(), static_cast<std::size_t>(call.body.size()));
@@ -37,8 +37,8 @@
     return answer;
 }
 
-// The key stays closed after not-run: an attempt that was sent before, and that is still under way somewhere, then never
-// starts. A resend is told from it by a key of its own.
+// The key stays closed after not-run, so that an earlier attempt still in flight never starts. A resend therefore needs a
+// key of its own.
 [[nodiscard]] static std::string nextKeyOf(const std::string &text, const int attemptsLeft)
 {
     std::optional<retry::RequestKey> key = retry::RequestKey::parse(text);
@@ -77,7 +77,7 @@
         answer.status = internal::notFoundStatus;
         answer.requestError = fmt::format("no service and kind {}/{} is declared", requested.service, requested.kind);
     } else if (isDraining) {
-        // The key's owner would soon be gone, and its requests refused as may-have-run.
+        // The owner of the key would soon be gone, and requests with the key refused as may-have-run.
         answer.refusal = m_context.refuse(account::RefusalReason::draining, "a daemon that is leaving mints no keys");
         answer.status = account::httpStatus(answer.refusal->reason);
     } else {
@@ -107,7 +107,7 @@
     if (!call.key.empty()) {
         return parent->derive(fmt::format("key\n{}\n{}\n{}", call.service, call.kind, call.key)).text();
     }
-    // Calls that are alike are told apart by their order, so a run that is made again repeats its keys as long as it makes
+    // Calls with equal content are distinguished by their order, so a repeated run derives the same keys as long as it makes
     // its calls in the same order, or with different content.
     const std::uint64_t content = internal::hashOf(call);
     const int ordinal = m_serving.nextOrdinal(inner.execution, content);
@@ -120,7 +120,7 @@
     if (key.has_value()) {
         return key;
     }
-    // A backend server's own key for an inner call need not name an owner: the root's owner stands for all of its calls.
+    // A backend server's own key for an inner call need not name an owner: the owner of the root's key owns all its calls.
     if (inner.has_value()) {
         return retry::RequestKey::parse(pending.scope);
     }
@@ -172,7 +172,7 @@
         m_ledger.reopen(pending.call.key);
         finding = {.standing = retry::KeyStanding::fresh};
     }
-    // A key that carries no age counts as new when it is not known; that is what makes this rule unsafe in general.
+    // An unknown key without an age counts as new, although it may have been forgotten; this makes the rule unsafe in general.
     if (finding.standing == retry::KeyStanding::fresh || finding.standing == retry::KeyStanding::forgotten) {
         beginOwned(std::move(pending), ageOf(now), request, now);
         return;
@@ -184,14 +184,16 @@
 {
     const std::uint64_t request = internal::hashOf(pending.call);
     pending.knowledge = retry::KeyKnowledge::owner;
-    // The table grants a key by its time; what this life has given up it does not run, whatever other daemons still read.
+    // The platform's table grants keys by their timestamp. This incarnation does not run keys of grants it has given up, even
+    // if other daemons still read the old table.
     if (key.uuid().has_value() && !m_grants->owns(*key.uuid())) {
         pending.knowledge = retry::KeyKnowledge::none;
         finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, "the key was not granted to this daemon"), now);
         return;
     }
     if (!key.uuid().has_value() && key.age() > ageOf(now)) {
-        // Never minted here: entered, it would be the last to be forgotten and close all younger keys before its turn.
+        // Not minted here: its age lies in the future. Recorded, it would be the last key to be forgotten, and forgetting it would
+        // close all keys minted up to that age.
         finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, "the key was not minted by its owner"), now);
         return;
     }
@@ -206,7 +208,7 @@
         beginOwned(std::move(pending), key.age(), request, now);
         return;
     }
-    // A key whose predecessor still runs is not closed by this refusal, so it might run later.
+    // This refusal does not close a key whose predecessor is still running, so the request might run later.
     const bool isPreviousClosed = ledger.find(key.previous()->text(), key.age(), request).standing == retry::KeyStanding::closed;
     pending.verdict = isPreviousClosed ? Verdict::notRun : Verdict::mayHaveRun;
     const std::string rule = "the resends of this request are used up, or the key before this one was not refused as not run";
@@ -223,7 +225,7 @@
     if (previousFinding.standing != retry::KeyStanding::closed || previousFinding.attemptsLeft <= 0) {
         return false;
     }
-    // A resend by the caller is one more attempt of the same request, paid from what the last one left over.
+    // A resend by the caller is another attempt of the same request and uses the attempts that the last one left over.
     pending.attemptsLeft = std::min(pending.attemptsLeft, previousFinding.attemptsLeft - 1);
     return true;
 }
@@ -263,7 +265,7 @@
 {
     const membership::Member *const member = m_context.roster.find(owner.daemon);
     if (member == nullptr || member->incarnation != owner.incarnation || owner.daemon == m_context.self) {
-        // The life that owns the key is the only one that knows what became of it, and the only one that may run it.
+        // Only the incarnation that owns the key knows the state of its request, and only it may run the request.
         const std::string rule = "the daemon that owns the key has gone, or is not known here";
         finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
         return;
@@ -310,7 +312,7 @@
     }
     const retry::KeyOwner self{.daemon = m_context.self, .incarnation = m_context.incarnation};
     const bool isKnown = m_context.manifest != nullptr && m_context.manifest->findKind(request.service, request.kind) != nullptr;
-    // The receiver and the owner named by the key are both checked: either alone could be an earlier life of this daemon.
+    // Both the receiver and the owner named by the key are checked: either could be a previous incarnation of this daemon.
     if (request.receiver != m_context.incarnation || !key.has_value() || (!key->uuid().has_value() && key->owner() != self) || !isKnown) {
         const std::string rule = "the request was meant for an earlier life of this daemon, or for a kind not declared here";
         finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
@@ -325,7 +327,7 @@
         finish(std::move(pending), internal::replay({.status = answer.status, .headers = answer.headers, .body = answer.body}), now);
         return;
     }
-    // The owner speaks of the key, not of an attempt, so its verdict is passed on as it is.
+    // The owner's verdict covers the key rather than one attempt, so it is passed on unchanged.
     pending.knowledge = retry::KeyKnowledge::owner;
     pending.verdict = answer.verdict;
     pending.nextKey = answer.nextKey;
--- a/src/egretlatch/decision/entry_rules.hpp
+++ b/src/egretlatch/decision/entry_rules.hpp
@@ -6,20 +6,21 @@
 namespace egretlatch::decision
 {
 
-/*! @brief How an entry daemon makes the attempts of a call. The defaults are those of a fleet that shares no bounds. */
+/*! @brief Rules by which an entry daemon makes the attempts of a call. The defaults suit a fleet without shared limits. */
 struct EntryRules
 {
     /**
-     * @brief Only what reaches a backend server counts as an attempt.
+     * @brief Counts only requests that reach a backend server as attempts.
      *
-     * A call that a daemon refuses before its server got it then goes to another daemon at once, without a backoff and
-     * without being paid for: nothing multiplies down the chain, since nothing ran. Each call, inner ones too, may spend
-     * the attempts of its own kind; the bound over all hops is the ratio and the slack of each service.
+     * A call that a daemon refuses before its server received it moves to another daemon immediately, without a backoff and
+     * without using an attempt: nothing ran, so load does not multiply down the chain. Each call, including inner ones, may
+     * use the attempts of its own kind; the limit over all hops is the retry ratio and the slack of each service.
      */
     bool countsOnlyArrivals{};
-    /*! @brief Repeats that a service takes beyond its ratio, from all daemons together; each daemon has its part. Without it, each has a number of its own. */
+    /*! @brief Repeats that a service accepts beyond its retry ratio from the whole fleet, divided among the daemons. If unset, each daemon has a limit of its
+     * own. */
     std::optional<double> retrySlack;
-    /*! @brief Calls carry a trace. Without a collector, it is bytes between data centres for nobody. */
+    /*! @brief Propagates traces with calls. Without a collector they only cost traffic between data centres. */
     bool traces{true};
 
     friend bool operator==(const EntryRules &, const EntryRules &) = default;
--- a/src/egretlatch/decision/event.hpp
+++ b/src/egretlatch/decision/event.hpp
@@ -20,13 +20,13 @@
 namespace egretlatch::decision
 {
 
-/*! @brief A call as a caller, or a backend server's run, made it over HTTP. */
+/*! @brief Call made over HTTP by a caller, or by a run of the local backend server. */
 struct CallerCall
 {
     std::string service;
     std::string kind;
     std::string method;
-    /*! @brief Path and query that the backend server is to see. */
+    /*! @brief Path and query to send to the backend server. */
     std::string path;
     /*! @brief End-to-end headers only. */
     Headers headers;
@@ -36,24 +36,24 @@
     /*! @brief Value of `Request-Timeout-Ms`. */
     std::optional<std::chrono::milliseconds> timeout;
     std::optional<account::TraceContext> trace;
-    /*! @brief Value of `Egretlatch-Call`: the run that makes this call; empty for a root. */
+    /*! @brief Value of `Egretlatch-Call`: identifies the run that makes this call; empty for a root. */
     std::string runToken;
-    /*! @brief What the caller calls this request, for logs and for telling whose inner call another one is; may be empty. */
+    /*! @brief Name that the caller gave this request, used in logs and to find the parent of inner calls; may be empty. */
     std::string requestName;
-    /*! @brief Name of the request whose run seems to make this call; empty for none. A hint: if it leads to no run here, the call is a root. */
+    /*! @brief Name of the request whose run is thought to make this call; empty for none. A hint: if no such run is running here, the call is a root. */
     std::string parentName;
 
     friend bool operator==(const CallerCall &, const CallerCall &) = default;
 };
 
-/*! @brief A call came in over HTTP. */
+/*! @brief A call arrived over HTTP. */
 struct CallArrived
 {
     ExchangeId exchange;
     CallerCall call;
 };
 
-/*! @brief A caller asks for a request key. */
+/*! @brief A caller requested a request key. */
 struct KeyRequested
 {
     ExchangeId exchange;
@@ -67,13 +67,13 @@
     ExchangeId exchange;
 };
 
-/*! @brief Another daemon, or this one, sent a message. */
+/*! @brief A message arrived from another daemon, or from this one. */
 struct PeerMessage
 {
     protocol::Envelope envelope;
 };
 
-/*! @brief A message could not be handed to the transport; it has not left this daemon. */
+/*! @brief The transport did not accept a message; it has not left this daemon. */
 struct SendFailed
 {
     DaemonId to;
@@ -88,7 +88,7 @@
     bool wasConnected{};
 };
 
-/*! @brief What a backend server answered. */
+/*! @brief Response of a backend server. */
 struct RunAnswer
 {
     int status{};
@@ -98,11 +98,11 @@
     friend bool operator==(const RunAnswer &, const RunAnswer &) = default;
 };
 
-/*! @brief Why a run gave no answer. */
+/*! @brief Reason that a run has no answer. */
 enum class RunFailure {
     /*! @brief No connection could be opened; nothing was sent. */
     neverConnected,
-    /*! @brief The backend server said, with 503 and `Egretlatch-Verdict: not-run`, that it did not start. */
+    /*! @brief The backend server reported, with 503 and `Egretlatch-Verdict: not-run`, that it did not start the request. */
     rejected,
     /*! @brief The connection was lost after the request was sent. */
     lost,
@@ -115,56 +115,56 @@
     std::variant<RunAnswer, RunFailure> result;
 };
 
-/*! @brief The backend server beside this daemon announced itself. */
+/*! @brief The local backend server announced itself. */
 struct ServerAnnounced
 {
     std::string service;
     int slots{};
     int connections{};
-    /*! @brief Names the process, so that a new one is told from one that drains; may be empty. */
+    /*! @brief Identifies the process, to tell a new one from one that is draining; may be empty. */
     std::string instance;
 
     friend bool operator==(const ServerAnnounced &, const ServerAnnounced &) = default;
 };
 
-/*! @brief The backend server, or an operator's signal, asks to take no new work. */
+/*! @brief The backend server, or an operator's signal, requested a drain: no new work is accepted. */
 struct ServerDraining
 {
-    /*! @brief Instance name of the server that leaves; empty for the one that is here. */
+    /*! @brief Instance name of the draining server; empty for the current one. */
     std::string instance{};
-    /*! @brief Whether the daemon itself is to end once nothing is in flight. */
+    /*! @brief Set if the daemon itself ends once nothing is in flight. */
     bool isShutdown{};
-    /*! @brief Whether the daemon was told to end, rather than its backend server. */
+    /*! @brief Set if the daemon, rather than its backend server, received the signal to end. */
     bool isSignal{};
 };
 
-/*! @brief The backend server has gone. */
+/*! @brief The backend server has stopped. */
 struct ServerLeft
 {
 };
 
-/*! @brief A configuration is to be put in force. */
+/*! @brief A configuration should be put in force. */
 struct ManifestChanged
 {
     std::uint64_t version{};
     std::shared_ptr<const manifest::Manifest> manifest;
 };
 
-/*! @brief Where operators submit, a configuration has been accepted. */
+/*! @brief A configuration submitted by operators has been accepted. */
 struct ManifestAccepted
 {
     std::uint64_t version{};
     QByteArray document;
 };
 
-/*! @brief The platform answered, or did not in time. */
+/*! @brief The platform answered, or the request timed out. */
 struct PlatformAnswered
 {
     store::RequestId id;
     store::Outcome outcome;
 };
 
-/*! @brief Time passed. */
+/*! @brief The timer fired; see Core::nextTick(). */
 struct Tick
 {
 };
--- a/src/egretlatch/decision/requester.hpp
+++ b/src/egretlatch/decision/requester.hpp
@@ -9,7 +9,7 @@
 namespace egretlatch::decision
 {
 
-/*! @brief A call that another daemon passed on to this one, as the owner of its key. */
+/*! @brief Call forwarded by another daemon to this one, the owner of its key. */
 struct PeerCall
 {
     DaemonId daemon;
@@ -19,7 +19,7 @@
     friend auto operator<=>(const PeerCall &, const PeerCall &) = default;
 };
 
-/*! @brief Who waits for the end of a call: a caller over HTTP, or another daemon. */
+/*! @brief Recipient of a call's answer: a caller over HTTP, or another daemon. */
 using Requester = std::variant<ExchangeId, PeerCall>;
 
 } // namespace egretlatch::decision
--- a/src/egretlatch/decision/serving_handler.cpp
+++ b/src/egretlatch/decision/serving_handler.cpp
@@ -13,7 +13,7 @@
 {
 
 constexpr int firstServerError = 500;
-// Chains change with releases, so telling one with each answer would only cost bytes.
+// Call chains change only with releases, so reporting one with each answer would waste bandwidth.
 constexpr std::uint64_t answersPerChainReport = 8;
 
 [[nodiscard]] static admission::RunOutcome outcomeOf(const std::variant<RunAnswer, RunFailure> &result)
@@ -65,15 +65,16 @@
 void ServingHandler::handleRequest(const DaemonId &from, const Incarnation incarnation, const protocol::CallRequest &request, const SteadyTime now)
 {
     const Origin origin{from, incarnation, request.call};
-    // A daemon restarted under the same id gets what its peers' transport still held for its former life, which may have
-    // run the same message already. A request names the life it is meant for, and no other life runs it.
+    // A daemon restarted under the same id receives messages that its peers' transport still held for its previous
+    // incarnation, which may already have run the same request. A request names its receiving incarnation, and no other one
+    // runs it.
     if (request.receiver != m_context.incarnation) {
         refuseWrongIncarnation(origin, now);
         return;
     }
-    // A transport that delivers a message twice would start a request twice, or start one that was refused as not run.
-    // The second copy names the same call of the same incarnation, so it is told from a retry, which has a call id of its
-    // own. It stands before all refusals: a call id that was refused is spent.
+    // A message delivered twice would start a request twice, or start one that was refused as not run. A duplicate has the
+    // same call id and incarnation, while a retry has a new call id. The check precedes all refusals: a refused call id must
+    // not be used again.
     if (!m_window.pass(from, incarnation, request.call)) {
         m_context.metrics.count("messages_dropped", "duplicate-request");
         return;
@@ -195,7 +196,7 @@
         }
     }
     for (const ExecutionId execution : waiting) {
-        // Taking one out may let the gate start, or refuse, another of the list.
+        // Removing one may cause the gate to start or refuse another one of the list.
         const auto found = m_attempts.find(execution);
         if (found != m_attempts.end() && !found->second.started.has_value()) {
             abandon(execution, account::RefusalReason::draining, now);
@@ -209,7 +210,7 @@
     if (outcome != admission::RunOutcome::succeeded && !attempt.hasFailedBelow) {
         m_paces.noteFailed(attempt.request.kind, now);
     }
-    // A run that failed may have ended before it made all its calls.
+    // A failed run may have ended before making all its calls.
     if (outcome == admission::RunOutcome::succeeded) {
         m_paces.noteEnded(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
         m_context.entryControl->noteRun({
@@ -325,7 +326,7 @@
     for (const admission::ServiceNews &news : m_context.entryControl->levelsBelow(m_context.roster.self().service, now)) {
         answer.levels.push_back({.service = news.service, .level = news.noted.level, .age = now - news.noted.at});
     }
-    // The way back is the connection that the request came by, so an unknown endpoint does not matter.
+    // The answer returns on the connection that the request arrived on, so no endpoint is needed.
     m_context.actions.emplace_back(SendToPeer{.to = daemon, .endpoint = {}, .message = std::move(answer)});
 }
 
@@ -359,7 +360,7 @@
         }
     }
     for (const ExecutionId execution : expired) {
-        // Giving one up frees its slot, and the gate may then refuse another of the list, which is gone by its turn.
+        // Abandoning one frees its slot, and the gate may then refuse another one of the list, which is already removed here.
         if (m_attempts.contains(execution)) {
             abandon(execution, account::RefusalReason::deadlinePassed, now);
         }
--- a/src/egretlatch/decision/serving_handler.hpp
+++ b/src/egretlatch/decision/serving_handler.hpp
@@ -19,7 +19,7 @@
 namespace egretlatch::decision
 {
 
-/*! @brief What an inner call takes over from the run that makes it. */
+/*! @brief State that an inner call inherits from the run that makes it. */
 struct InnerContext
 {
     ExecutionId execution;
@@ -29,82 +29,82 @@
     SteadyTime deadline;
     account::TraceContext trace;
     int depth{};
-    /*! @brief The run repeats one, so its calls are repeats, too. */
+    /*! @brief Set if the run is a repeat, which makes its calls repeats as well. */
     bool isRepeat{};
-    /*! @brief What the key of the call is derived from. */
+    /*! @brief Key from which the key of the call is derived. */
     std::string scope;
 };
 
-/*! @brief How an inner call ended, as far as the run that made it is concerned. */
+/*! @brief Result of an inner call, as reported to the run that made it. */
 struct InnerCallResult
 {
-    /*! @brief Attempts that were not spent. */
+    /*! @brief Attempts that were not used. */
     int attempts{};
-    /*! @brief Slot time that the call took. */
+    /*! @brief Slot time used by the call. */
     Duration slotTime{};
-    /*! @brief Whether it brought no good answer. */
+    /*! @brief Set if the call was refused or answered with a server error. */
     bool hasFailed{};
 };
 
-/*! @brief Runs attempts at the backend server beside this daemon. */
+/*! @brief Runs attempts at the local backend server. */
 class ServingHandler
 {
 public:
     /**
      * @brief Builds the handler.
-     * @param surroundings What it shares with the rest of the core; must outlive it.
-     * @param gate Decides what runs, and when.
+     * @param context State shared with the rest of the core; must outlive the handler.
+     * @param gate Admission control of the backend server.
      */
     ServingHandler(CoreContext &context, std::unique_ptr<admission::Gate> gate);
 
     /**
-     * @brief Takes an attempt.
+     * @brief Handles an attempt.
      * @param from The daemon that makes it.
-     * @param incarnation Its life.
+     * @param incarnation Its incarnation.
      * @param request The attempt.
      * @param now Current time.
      */
     void handleRequest(const DaemonId &from, Incarnation incarnation, const protocol::CallRequest &request, SteadyTime now);
 
     /**
-     * @brief Gives up an attempt that nobody waits for.
+     * @brief Cancels an attempt.
      * @param from The daemon that made it.
-     * @param incarnation Its life.
+     * @param incarnation Its incarnation.
      * @param call The attempt.
      * @param now Current time.
      */
     void handleCancel(const DaemonId &from, Incarnation incarnation, CallId call, SteadyTime now);
 
     /**
-     * @brief Takes the end of a run.
+     * @brief Handles the end of a run.
      * @param ended The run and its result; unknown runs are counted and dropped.
      * @param now Current time.
      */
     void handleRunEnded(const RunEnded &ended, SteadyTime now);
 
     /**
-     * @brief Lets time pass.
+     * @brief Advances the gate and abandons attempts past their deadline.
      * @param now Current time.
      */
     void tick(SteadyTime now);
 
     /**
-     * @brief Takes the backend server's announcement, or the end of it.
+     * @brief Sets the backend server.
      * @param slots Slots of the backend server; zero if there is none.
      */
     void setServer(int slots);
 
     /**
-     * @brief Takes the declaration of the backend server's service.
+     * @brief Sets the declaration of the backend server's service.
      * @param service The declaration.
      */
     void setService(const manifest::ServiceSpec &service);
 
-    /*! @brief Refuses all new attempts from now on; what runs or waits goes on. */
+    /*! @brief Refuses all new attempts from now on; running and waiting ones continue. */
     void drain();
 
     /**
-     * @brief Refuses what still waits for a slot.
+     * @brief Refuses all attempts that still wait for a slot.
      * @param now Current time.
      */
     void refuseWaiting(SteadyTime now);
@@ -112,36 +112,36 @@
     /**
      * @brief Finds the run that an inner call names.
      * @param token Value of `Egretlatch-Call`.
-     * @return What the call inherits, or nothing if no such run is running here.
+     * @return State that the call inherits; empty if no such run is running here.
      */
     [[nodiscard]] std::optional<InnerContext> findRun(const std::string &token) const;
 
     /**
-     * @brief Finds the run of a request by what its caller calls it.
+     * @brief Finds the run of a request by the name that its caller gave it.
      * @param name The name.
-     * @return What an inner call of the run inherits, or nothing if no such run is running here.
+     * @return State that an inner call of the run inherits; empty if no such run is running here.
      */
     [[nodiscard]] std::optional<InnerContext> findRunNamed(const std::string &name) const;
 
     /**
-     * @brief Takes attempts for an inner call out of what its run was lent.
+     * @brief Lends an inner call part of the attempts lent to its run.
      * @param execution The run.
-     * @return How many attempts the call may spend beyond its first.
+     * @return Number of attempts that the call may make beyond its first.
      */
     [[nodiscard]] int lendAttempts(ExecutionId execution);
 
     /**
-     * @brief Numbers the inner calls of a run that are alike.
+     * @brief Numbers the inner calls of a run that have equal content.
      * @param execution The run.
-     * @param call Hash of what the call asks for.
+     * @param call Hash of the call's content.
      * @return 0 for the first such call, 1 for the next one.
      */
     [[nodiscard]] int nextOrdinal(ExecutionId execution, std::uint64_t call);
 
     /**
-     * @brief Gives how fast the backend server is.
+     * @brief Returns the measured pace of the backend server.
      * @param now Current time.
-     * @return Its paces at the kinds that ran lately.
+     * @return Its pace for each kind that ran recently.
      */
     [[nodiscard]] std::vector<admission::KindPace> paces(SteadyTime now) const
     {
@@ -149,8 +149,8 @@
     }
 
     /**
-     * @brief Takes what other daemons should hear of requests that crash servers.
-     * @return What is new since the last call.
+     * @brief Removes and returns the pending crash reports for other daemons.
+     * @return Reports added since the last call.
      */
     [[nodiscard]] std::vector<CrashReport> takeCrashReports()
     {
@@ -158,22 +158,23 @@
     }
 
     /**
-     * @brief Takes that another instance is in the backend server's place.
+     * @brief Records that another instance has replaced the backend server.
      * @param now Current time.
      */
     void noteServerReplaced(SteadyTime now);
 
     /**
-     * @brief Notes that a run makes an inner call.
+     * @brief Records that a run makes an inner call.
      * @param execution The run.
-     * @param kind What it calls.
+     * @param kind Kind of the call.
      */
     void noteInnerBegan(ExecutionId execution, const admission::KindName &kind);
 
     /**
-     * @brief Ends an inner call.
+     * @brief Records the end of an inner call.
      * @param execution The run that made it; may have ended.
-     * @param end How it ended.
+     * @param end Result of the call.
+     * @param now Current time.
      */
     void noteInnerEnded(ExecutionId execution, const InnerCallResult &end, SteadyTime now);
 
@@ -212,7 +213,7 @@
         Duration innerSlotTime{};
         bool hasFailedBelow{};
         std::map<admission::KindName, int> innerCalls;
-        /*! @brief How many inner calls of each content the run has made. */
+        /*! @brief Number of inner calls that the run has made, by hash of their content. */
         std::map<std::uint64_t, int> ordinals;
     };
 
--- a/src/egretlatch/decision/serving_runs.cpp
+++ b/src/egretlatch/decision/serving_runs.cpp
@@ -1,4 +1,4 @@
-// The part of ServingHandler that keeps account of runs: their inner calls, and the crashes that end them.
+// The part of ServingHandler that tracks runs: their inner calls, and the crashes that end them.
 
 #include <egretlatch/decision/serving_handler.hpp>
 
@@ -120,7 +120,7 @@
 
 void ServingHandler::clearIfSuspect(const Attempt &attempt)
 {
-    // Fingerprints are made only while there are suspects, which is hardly ever.
+    // Fingerprints are computed only while there are suspects, which is rare.
     if (m_context.suspects.isEmpty()) {
         return;
     }
--- a/test/egretlatch/decision/configuration_spread.cpp
+++ b/test/egretlatch/decision/configuration_spread.cpp
@@ -11,10 +11,10 @@
 using namespace egretlatch::decision;
 using namespace std::chrono_literals;
 
-TEST_CASE("a configuration that the platform hands over is told to every daemon of a small fleet at once")
+TEST_CASE("an accepted configuration is advertised to every daemon of a small fleet immediately")
 {
-    // Three seconds after a route has moved, one VM still sends its requests to the old service. Its call to the store had
-    // gone silent in an outage, and none of the others happened to tell it.
+    // Guards against a VM that still routes to the old service three seconds after a route moved: its connection to the
+    // store was silent in an outage, and no other daemon happened to send it the advert.
     fakes::ManualClock clock;
     SeededRandom random{1};
     fakes::CountingMetrics metrics;
@@ -47,10 +47,10 @@
     CHECK(recipients.size() == others);
 }
 
-TEST_CASE("a peer that does not send its configuration costs a fed daemon a fraction of a second")
+TEST_CASE("a daemon with a configuration feed asks another peer within a fraction of a second if one does not send its configuration")
 {
-    // A route has moved, and a VM follows 0.7 s later than the others, or 1.4 s. The peer that it asked first stopped before
-    // it answered, and the next was asked only after a turn of the store, which is not asked for configurations there.
+    // Guards against a VM that applies a moved route 0.7 s or 1.4 s later than the others: the peer that it asked first stopped
+    // before it answered, and the next was asked only after a turn for the store, which is not queried in this mode.
     fakes::ManualClock clock;
     SeededRandom random{1};
     fakes::CountingMetrics metrics;
--- a/test/egretlatch/decision/core.cpp
+++ b/test/egretlatch/decision/core.cpp
@@ -27,7 +27,7 @@
     return fakes::rosterManifest(read);
 }
 
-// One entry daemon that knows of two serving daemons, `left` and `right`.
+// One entry daemon that knows two serving daemons, `left` and `right`.
 struct EntryFixture
 {
     EntryFixture()
@@ -45,7 +45,7 @@
         return core->handle(PeerMessage{.envelope = {.sender = {sender}, .incarnation = peerIncarnation, .message = message}});
     }
 
-    // Starts a call and gives the attempt that left for a serving daemon.
+    // Starts a call and returns the attempt sent to a serving daemon.
     SendToPeer arrive(const std::uint64_t exchange, const std::string &kind = "read", const std::string &key = {})
     {
         CallerCall call;
@@ -92,7 +92,7 @@
 
 } // namespace
 
-TEST_CASE("an answer goes to the exchange that asked, whole")
+TEST_CASE("an answer goes unchanged to the exchange that made the request")
 {
     EntryFixture entry;
     const SendToPeer first = entry.arrive(1);
@@ -108,10 +108,10 @@
     CHECK(EntryFixture::callerAnswer(earlier)->answer.body == "one");
 }
 
-TEST_CASE("an answer that comes twice is given once")
+TEST_CASE("a duplicate answer is passed to the caller once")
 {
-    // A caller reads two answers on one connection and takes the second for that of its next request.
-    // The serving daemon's answer is delivered twice.
+    // Guards against a caller that reads two answers on one connection and takes the second for the answer to its next request,
+    // because the serving daemon's answer was delivered twice.
     EntryFixture entry;
     const SendToPeer sent = entry.arrive(1);
     static_cast<void>(entry.handleFrom(sent.to.value, EntryFixture::answerTo(sent, "one")));
@@ -120,10 +120,10 @@
     CHECK(entry.metrics.value("messages_dropped/late-answer") == 1);
 }
 
-TEST_CASE("an answer for an earlier life of the daemon is dropped")
+TEST_CASE("an answer for a previous incarnation of the daemon is dropped")
 {
-    // A member reads another member's roster. The entry daemon restarts, its call numbers begin anew, and an answer
-    // meant for its earlier life names the number of a new call.
+    // Guards against giving one caller another caller's answer: after a restart of the entry daemon call ids start again, and
+    // an answer meant for the previous incarnation carries the id of a new call.
     EntryFixture entry;
     const SendToPeer sent = entry.arrive(1);
     protocol::CallAnswer answer = EntryFixture::answerTo(sent, "another's");
@@ -132,7 +132,7 @@
     CHECK(EntryFixture::callerAnswer(entry.handleFrom(sent.to.value, answer)) == nullptr);
 }
 
-TEST_CASE("an answer from a daemon that was not asked is dropped")
+TEST_CASE("an answer from a daemon that the request was not sent to is dropped")
 {
     EntryFixture entry;
     const SendToPeer sent = entry.arrive(1);
@@ -141,7 +141,7 @@
     CHECK(EntryFixture::callerAnswer(entry.handleFrom(other, EntryFixture::answerTo(sent, "wrong"))) == nullptr);
 }
 
-TEST_CASE("past the deadline the caller is told that the request may have run, and the attempt is cancelled")
+TEST_CASE("past the deadline the caller gets may-have-run, and the attempt is cancelled")
 {
     EntryFixture entry;
     const SendToPeer sent = entry.arrive(1);
@@ -160,7 +160,7 @@
     CHECK(isCancelled);
 }
 
-TEST_CASE("a lost attempt is made again elsewhere only where that does no harm")
+TEST_CASE("a lost attempt is retried elsewhere only if the kind is idempotent")
 {
     for (const bool idempotent : {true, false}) {
         CAPTURE(idempotent);
@@ -179,7 +179,7 @@
     }
 }
 
-TEST_CASE("the same events with the same seed give the same attempts")
+TEST_CASE("the same events with the same seed produce the same attempts")
 {
     EntryFixture one;
     EntryFixture other;
@@ -191,7 +191,7 @@
     }
 }
 
-TEST_CASE("an older configuration does not undo a newer one")
+TEST_CASE("an older configuration does not replace a newer one")
 {
     EntryFixture entry;
     CHECK_FALSE(entry.core->handle(ManifestChanged{.version = 3, .manifest = rosterManifest()}).empty());
@@ -199,10 +199,10 @@
     CHECK(entry.core->manifestVersion() == 3);
 }
 
-TEST_CASE("a cancel travels down the chain")
+TEST_CASE("a cancel propagates down the call chain")
 {
-    // Work goes on that nobody waits for. A caller closes its connection while its call runs, and the run waits for a call
-    // of its own; only the run was ended, and the inner call kept a slot further down.
+    // Guards against wasted work: a caller disconnects while its run waits for an inner call; only the run was aborted, and
+    // the inner call kept a slot further down the chain.
     EntryFixture daemon;
     static_cast<void>(daemon.core->handle(ServerAnnounced{.service = "launch", .slots = 2, .connections = 10, .instance = {}}));
     protocol::CallRequest request;
--- a/test/egretlatch/decision/crash_report.cpp
+++ b/test/egretlatch/decision/crash_report.cpp
@@ -14,13 +14,13 @@
 
 } // namespace
 
-TEST_CASE("a server that loses answers and goes on taking connections has not crashed")
+TEST_CASE("lost answers count as a crash only if the server then refuses connections or is replaced")
 {
     CrashDetector detector;
     detector.noteLostRun(1, start);
     detector.noteLostRun(2, start);
     CHECK(detector.noteConnectFailure(start + 100ms) == std::vector<admission::RequestFingerprint>{1, 2});
-    // Told once; a server that is down for long does not crash with each refused connection.
+    // Reported once: a server that stays down does not crash again with each refused connection.
     CHECK(detector.noteConnectFailure(start + 200ms).empty());
 
     detector.noteLostRun(3, start + 10s);
@@ -31,7 +31,7 @@
     CHECK(detector.noteReplacement(start + 36s).empty());
 }
 
-TEST_CASE("crashes that daemons tell of add up to a quarantine, and a good run ends it")
+TEST_CASE("crashes reported by several daemons add up to a quarantine, and a successful run ends it")
 {
     admission::CrashSuspects suspects;
     for (const char *const daemon : {"a", "b"}) {
@@ -46,7 +46,7 @@
     CHECK_FALSE(suspects.isQuarantined(8, start));
 }
 
-TEST_CASE("a sound request is not refused where the news of its good runs come before those of the crashes")
+TEST_CASE("a harmless request is not quarantined if reports of its successful runs arrive before the crash reports")
 {
     admission::CrashSuspects suspects;
     for (const std::uint64_t number : {1, 2, 3}) {
@@ -60,7 +60,7 @@
     CHECK_FALSE(suspects.isQuarantined(8, start + 1s));
 }
 
-TEST_CASE("a good run long ago does not speak for a request that crashes servers now")
+TEST_CASE("an expired successful run does not clear a request that crashes servers now")
 {
     admission::CrashSuspects suspects;
     CrashReport::forSuccess({"a"}, {1}, 1, 7).apply(suspects, start);
--- a/test/egretlatch/decision/declared_service.cpp
+++ b/test/egretlatch/decision/declared_service.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/*! @brief Keeps the queue target that it is given, and runs nothing. */
+/*! @brief Records the queue target, and runs nothing. */
 class RecordingGate final : public admission::Gate
 {
 public:
@@ -60,10 +60,10 @@
 
 } // namespace
 
-TEST_CASE("a manifest of version 0 reaches a gate whose server announced itself before")
+TEST_CASE("a manifest of version 0 configures the gate of a server that announced itself earlier")
 {
-    // A backend server is up before its daemon has read the manifest of the settings, which is version 0 where there is a
-    // platform. The gate would go on with a queue target of its own, as the version had not changed from "none".
+    // Guards against a gate that keeps its default queue target: a backend server is up before its daemon has read the manifest
+    // from the settings, which has version 0 if there is a platform, and the version did not differ from that of no manifest.
     fakes::ManualClock clock;
     SeededRandom random{1};
     fakes::CountingMetrics metrics;
--- a/test/egretlatch/decision/entry_rules.cpp
+++ b/test/egretlatch/decision/entry_rules.cpp
@@ -27,7 +27,7 @@
     return fakes::rosterManifest(read);
 }
 
-// One entry daemon that counts only what reaches a backend server, and three serving daemons.
+// One entry daemon that counts only requests that reach a backend server, and three serving daemons.
 struct Fixture
 {
     Fixture()
@@ -42,7 +42,7 @@
                    .build();
         static_cast<void>(core->handle(ManifestChanged{.version = 1, .manifest = rosterManifest()}));
         static_cast<void>(handleFrom({"left"}, fakes::rosterNews({"left", "middle", "right"}, peerIncarnation)));
-        // The part of the fleet's slack that is this daemon's is known from then on.
+        // The tick computes this daemon's part of the fleet's retry slack.
         static_cast<void>(core->handle(Tick{}));
     }
 
@@ -113,10 +113,10 @@
 
 } // namespace
 
-TEST_CASE("a call that a leaving server's daemon turns away goes to another daemon at once")
+TEST_CASE("a call refused by the daemon of a draining server goes to another daemon immediately")
 {
-    // Launch entries fail while servers are replaced one after the other. Each entry daemon learns of a leaving server a
-    // moment later than its own daemon, and what it sent meanwhile came back refused although nothing had run.
+    // Guards against failed requests while servers are replaced one after another: entry daemons learn of a draining server
+    // slightly later than its own daemon, and requests sent in between were refused although nothing had run.
     Fixture fixture;
     const Actions first = fixture.arrive("entry");
     const SendToPeer *const sent = Fixture::attemptIn(first);
@@ -128,7 +128,7 @@
     CHECK(moved->to != sent->to);
 }
 
-TEST_CASE("what may have run is not sent to a second server unless it is idempotent")
+TEST_CASE("a request that may have run is not sent to a second server unless it is idempotent")
 {
     Fixture fixture;
     const Actions first = fixture.arrive("entry");
@@ -137,9 +137,9 @@
     CHECK(Fixture::attemptIn(second) == nullptr);
 }
 
-TEST_CASE("a failure that a server brings about by itself is tried at another one, once")
+TEST_CASE("a failure caused by the server itself is retried at another one, once")
 {
-    // A fifth of the roster reads fail at one server of four that says it is healthy, for as long as it does.
+    // Guards against lasting failures: one server of four failed a fifth of its reads while it reported itself healthy.
     Fixture fixture;
     const Actions first = fixture.arrive("read");
     const SendToPeer *const sent = Fixture::attemptIn(first);
@@ -153,9 +153,10 @@
     CHECK(Fixture::attemptIn(third) == nullptr);
 }
 
-TEST_CASE("a failure from below is passed on, and so is one of a request that may not be repeated")
+TEST_CASE("a failure from a service below is passed on, and so is one of a request that is not idempotent")
 {
-    // The deepest service is full, and each service above runs its requests twice: the load multiplies with each hop.
+    // Guards against retry amplification: the deepest service is full, and each service above it runs its requests twice, so
+    // the load multiplies with each hop.
     Fixture fixture;
     const Actions below = fixture.arrive("read");
     CHECK(Fixture::isAnswered(fixture.answer(*Fixture::attemptIn(below), serverError(true))));
@@ -163,10 +164,10 @@
     CHECK(Fixture::isAnswered(fixture.answer(*Fixture::attemptIn(entry), serverError(false))));
 }
 
-TEST_CASE("retries stay within this daemon's part of what the fleet may repeat")
+TEST_CASE("retries stay within this daemon's part of the fleet's retry slack")
 {
-    // All servers of a service fail all they run. Each daemon repeats a few, and sixteen daemons together more than the
-    // service takes, although each kept to a bound of its own.
+    // Guards against excess retries of the whole fleet: all servers of a service fail every request, and 16 daemons, each
+    // within a limit of its own, together repeat more than the service accepts.
     Fixture fixture;
     int repeated = 0;
     constexpr int requests = 400;
@@ -188,7 +189,7 @@
 namespace
 {
 
-// A daemon whose server has one slot, and leaves.
+// A daemon whose server has one slot and drains.
 struct DrainingServer
 {
     DrainingServer()
@@ -249,10 +250,10 @@
 
 } // namespace
 
-TEST_CASE("a leaving server's door stays open for its time and no longer")
+TEST_CASE("a draining server accepts requests for the drain time and no longer")
 {
-    // A service whose last server leaves refuses all its callers seconds before the server has to stop. Its daemon closed
-    // the door with the first word of it.
+    // Guards against an early outage: a service whose last server drains refused all its callers seconds before the server had
+    // to stop, because the daemon refused requests from the first drain report on.
     DrainingServer server;
     static_cast<void>(server.core->handle(ServerDraining{}));
     server.advance(700ms);
@@ -261,12 +262,12 @@
     static_cast<void>(server.offer());
     server.advance(100ms);
     CHECK(DrainingServer::startsIn(server.offer()) == 0);
-    // What waited for the one slot is not started after the last start, also when the slot falls free.
+    // A request waiting for the slot is not started after the last-start time, even if the slot becomes free.
     server.advance(800ms);
     CHECK(DrainingServer::startsIn(server.end(taken)) == 0);
 }
 
-TEST_CASE("a daemon that stood still starts nothing, on waking, at a server that has left meanwhile")
+TEST_CASE("after a stall, a daemon starts nothing at a server whose drain time has passed meanwhile")
 {
     DrainingServer server;
     const Actions taken = server.offer();
@@ -277,10 +278,10 @@
     CHECK(DrainingServer::startsIn(server.offer()) == 0);
 }
 
-TEST_CASE("a repeat is told of as one, and so is each call of a run that repeats one")
+TEST_CASE("a repeat is marked as one, and so is each inner call of a repeated run")
 {
-    // The deepest service gets more repeats than the fleet may make: each daemon bounds what it repeats itself, and takes the
-    // calls of a run that is made again for first ones.
+    // Guards against more repeats at the deepest service than the fleet may make: each daemon limits its own repeats, but
+    // counted the inner calls of a repeated run as first attempts.
     Fixture fixture;
     const Actions first = fixture.arrive("read");
     const SendToPeer attempt = *Fixture::attemptIn(first);
--- a/test/egretlatch/decision/membership.cpp
+++ b/test/egretlatch/decision/membership.cpp
@@ -46,7 +46,7 @@
         static_cast<void>(core->handle(ManifestChanged{.version = 1, .manifest = rosterManifest(retryBudget)}));
     }
 
-    // Lets the other daemon say that its server takes work.
+    // Receives gossip from another daemon that its server is serving.
     void addPeer(const std::string &id = "other")
     {
         membership::Member other;
@@ -66,7 +66,7 @@
         static_cast<void>(core->handle(ServerAnnounced{.service = "roster", .slots = 2, .connections = 10, .instance = instance}));
     }
 
-    // Lets time pass in steps, with announcements if there is a server.
+    // Advances the time in steps, with an announcement before each tick if keepsAnnouncing is set.
     Actions advance(const Duration span, const bool keepsAnnouncing)
     {
         constexpr std::chrono::milliseconds step{500};
@@ -117,9 +117,10 @@
 
 } // namespace
 
-TEST_CASE("a lost connection ends the attempts that left by it, and tells that they may have run")
+TEST_CASE("a lost connection ends the attempts sent on it as may-have-run")
 {
-    // A caller waits its whole deadline for a daemon whose VM failed. No answer can come once the connection is lost.
+    // Guards against a caller that waits until its deadline for a daemon whose VM failed: no answer can arrive once the
+    // connection is lost.
     DaemonFixture daemon;
     daemon.addPeer();
     REQUIRE(DaemonFixture::find<SendToPeer>(daemon.arrive(1)) != nullptr);
@@ -132,10 +133,10 @@
     CHECK((answer->answer.verdict == Verdict::mayHaveRun));
 }
 
-TEST_CASE("a read at a daemon that fails is made again elsewhere, within its budget")
+TEST_CASE("a read at a failed daemon is retried elsewhere, within its retry budget")
 {
-    // A driver's roster read fails with the VM that served it, although another server of the service is well. All attempts
-    // had been lent to the daemon that is lost, and what is lent comes back with the answer alone.
+    // Guards against a read that fails with the VM that served it although another server of the service is healthy: all
+    // attempts had been lent to the lost daemon, and lent attempts are returned only with an answer.
     DaemonFixture daemon{1};
     daemon.addPeer("other");
     daemon.addPeer("third");
@@ -156,10 +157,10 @@
     CHECK(DaemonFixture::find<AnswerCaller>(daemon.core->handle(PeerLost{.daemon = std::get<SendToPeer>(*again).to, .wasConnected = true})) != nullptr);
 }
 
-TEST_CASE("a connection that never opened ends nothing by itself")
+TEST_CASE("a connection that never opened ends no attempt by itself")
 {
-    // A caller is told not-run of a request that runs. The event of a connection that failed is read after a later attempt
-    // has left by the next connection; only the failure of that very attempt may end it.
+    // Guards against a not-run answer for a running request: the event of a failed connection is handled after a later attempt
+    // was sent on the next connection; only a SendFailed of that attempt may end it.
     DaemonFixture daemon;
     daemon.addPeer();
     const Actions started = daemon.arrive(1);
@@ -175,9 +176,9 @@
     CHECK((answer->answer.verdict == Verdict::notRun));
 }
 
-TEST_CASE("a backend server that stops announcing itself is taken for gone")
+TEST_CASE("a backend server that stops announcing itself counts as gone")
 {
-    // Calls are refused one after the other by a daemon whose backend server was killed and said nothing.
+    // Guards against a daemon that keeps failing calls after its backend server was killed without a report.
     DaemonFixture daemon;
     daemon.announce();
     static_cast<void>(daemon.advance(10s, true));
@@ -188,10 +189,10 @@
     CHECK((daemon.state() == MemberState::serving));
 }
 
-TEST_CASE("announcements do not undo a drain, a new process does")
+TEST_CASE("announcements do not undo a drain, but a new process does")
 {
-    // A backend server that is being replaced gets new work: it announces itself while it drains. The process that
-    // follows it must not be held for draining.
+    // Guards against new work for a server that is being replaced: it keeps announcing itself while it drains. Its successor
+    // must not count as draining.
     DaemonFixture daemon;
     daemon.announce("first");
     static_cast<void>(daemon.core->handle(ServerDraining{}));
@@ -204,7 +205,7 @@
     CHECK((daemon.state() == MemberState::serving));
 }
 
-TEST_CASE("the word of a server that it leaves is not undone by an announcement that was sent before it")
+TEST_CASE("a reported departure is not undone by an announcement that was sent earlier")
 {
     DaemonFixture daemon;
     static_cast<void>(daemon.core->handle(ServerDraining{.instance = "first"}));
@@ -216,7 +217,7 @@
     CHECK((daemon.state() == MemberState::serving));
 }
 
-TEST_CASE("a daemon that starts again is told by the others that its server leaves")
+TEST_CASE("a restarted daemon learns from the others that its server is leaving")
 {
     DaemonFixture daemon;
     daemon.addPeer();
@@ -243,7 +244,7 @@
     CHECK((announcedFirst.state() == MemberState::serving));
 }
 
-TEST_CASE("a server that left does not come back once another has been in its place")
+TEST_CASE("a departed server does not return to service after another one has replaced it")
 {
     DaemonFixture daemon;
     daemon.announce("first");
@@ -254,7 +255,7 @@
     CHECK((daemon.state() == MemberState::draining));
 }
 
-TEST_CASE("a drain before a server without a name is known lasts until it has been silent")
+TEST_CASE("a drain before an unnamed server is known lasts until its announcements have paused")
 {
     DaemonFixture daemon;
     static_cast<void>(daemon.core->handle(ServerDraining{}));
@@ -265,7 +266,7 @@
     CHECK((daemon.state() == MemberState::serving));
 }
 
-TEST_CASE("a daemon that was told to end before it knew its server does not say that it serves")
+TEST_CASE("a daemon that was signalled to end before it knew its server does not announce that it serves")
 {
     DaemonFixture daemon;
     static_cast<void>(daemon.core->handle(ServerDraining{.isSignal = true}));
@@ -273,10 +274,10 @@
     CHECK((daemon.state() != MemberState::serving));
 }
 
-TEST_CASE("a daemon that shuts down finishes what runs, says that it leaves, and then ends")
+TEST_CASE("a daemon that shuts down finishes its runs, announces its departure, and then ends")
 {
-    // A marshal sees a launch entry fail because a VM was replaced. What runs must end first; then the others must be
-    // told, or they take the daemon for one that failed.
+    // Guards against requests that fail because a VM is replaced: runs must finish first; then the departure must be announced,
+    // or the other daemons take it for a crash.
     DaemonFixture daemon;
     daemon.announce();
     const Actions started = daemon.arrive(1);
--- a/test/egretlatch/decision/serving_handler.cpp
+++ b/test/egretlatch/decision/serving_handler.cpp
@@ -60,8 +60,8 @@
     });
 }
 
-// Offers three calls to a server with one slot, the second with more time than the others, lets their time pass and counts
-// the answers.
+// Offers three calls to a server with one slot, the second with a longer deadline than the others, advances the time past the
+// short deadlines and counts the answers.
 [[nodiscard]] std::ptrdiff_t answersToExpired(std::unique_ptr<admission::Gate> gate)
 {
     constexpr std::chrono::milliseconds shortTime{100};
@@ -83,7 +83,7 @@
     return answers;
 }
 
-// What a daemon says of a call that is meant for its earlier life.
+// Returns the verdict of a daemon on a call meant for its previous incarnation.
 [[nodiscard]] Verdict verdictOnWrongIncarnation(const Delivery delivery)
 {
     fakes::ManualClock clock;
@@ -104,18 +104,17 @@
 
 } // namespace
 
-TEST_CASE("a call that only the wrong life of a daemon got has not run, so that its caller may be served elsewhere")
+TEST_CASE("a call for a previous incarnation has not run if a message reaches only one incarnation")
 {
     CHECK((verdictOnWrongIncarnation(Delivery::oneIncarnation) == Verdict::notRun));
     CHECK((verdictOnWrongIncarnation(Delivery::severalIncarnations) == Verdict::mayHaveRun));
 }
 
-TEST_CASE("calls whose deadline passes together are each answered once")
+TEST_CASE("calls that expire at the same time are each answered once")
 {
-    // A daemon ends in the middle of a surge and takes its backend server out of the mesh. A call that runs and one that
-    // waits pass their deadlines together, with a call between them that has time left. Giving up the one that runs frees
-    // its slot, the gate starts the one between, finds the next expired and refuses it; then the daemon gives it up
-    // though it is gone.
+    // Guards against a daemon that crashes during a surge and takes its backend server out of the mesh. A running and a waiting
+    // call expire at the same time, with an unexpired call queued between them. Abandoning the running one frees its slot; the
+    // gate starts the one between, finds the next expired and refuses it; then the daemon abandoned the removed call again.
     constexpr std::size_t queueCapacity = 10;
     constexpr std::ptrdiff_t expired = 2;
 
--- a/test/history/history.hpp
+++ b/test/history/history.hpp
@@ -15,7 +15,7 @@
 {
     int exchange{};
     std::string key;
-    /*! @brief Names the request whatever its key and entry; unkeyed sends have one each. */
+    /*! @brief Identifies the request independently of its key and entry; each send without a key has its own. */
     std::string logicalId;
     bool idempotent{};
 };
@@ -28,7 +28,7 @@
     std::string key;
     std::string logicalId;
     bool idempotent{};
-    /*! @brief What the run answers if it gets to; different for each run. */
+    /*! @brief Answer of the run, if it completes; unique for each run. */
     std::string answer;
 };
 
@@ -41,25 +41,25 @@
     std::string body;
 };
 
-/*! @brief What was seen of one schedule, in order of time within each list. */
+/*! @brief Observed events of one schedule, in order of time within each list. */
 struct History
 {
     std::vector<Sent> sent;
     std::vector<Ran> ran;
     std::vector<Answered> answered;
-    /*! @brief Exchanges whose entry died, or whose caller closed the connection: no answer is owed. */
+    /*! @brief Exchanges that need no answer: the entry crashed, or the caller closed the connection. */
     std::vector<int> exempt;
-    /*! @brief Attempts sent to serving daemons, by the trace of their root. */
+    /*! @brief Attempts sent to serving daemons, by trace id of their root. */
     std::map<std::string, int> attempts;
-    /*! @brief Inner calls that the runs of a root's tree have made, by its trace. */
+    /*! @brief Inner calls made in the call tree of a root, by its trace id. */
     std::map<std::string, int> innerCalls;
-    /*! @brief Attempts beyond the first of each call that a root may spend. */
+    /*! @brief Attempts that a root may make beyond the first of each call. */
     int retryBudget{};
 };
 
 /**
- * @brief Checks what must always hold of requests.
- * @param history What was seen.
+ * @brief Checks the invariants of requests.
+ * @param history The observed events.
  * @return A line for each violation; empty if there is none.
  */
 [[nodiscard]] std::vector<std::string> check(const History &history);
--- a/test/history/schedule.cpp
+++ b/test/history/schedule.cpp
@@ -27,7 +27,7 @@
 constexpr int maxSends = 5;
 constexpr double prematureNextKeyShare = 0.1;
 constexpr int maxSkewMs = 3000;
-// Short, so that a schedule sees many of them change hands.
+// Short, so that many grants change owners within a schedule.
 constexpr retry::GrantTimes grantTimes{
     .length = std::chrono::seconds{4}, .readInterval = std::chrono::milliseconds{600}, .retryInterval = std::chrono::milliseconds{150}};
 
@@ -159,7 +159,7 @@
         }
     }
     node.core = builder.build();
-    // A daemon that starts has no configuration for a while.
+    // A starting daemon has no configuration at first.
     plan(between(0, 200), [this, index, generation = node.generation] {
         if (m_nodes[index].generation == generation) {
             handleEvent(index, decision::ManifestChanged{.version = 1, .manifest = m_manifest});
@@ -189,7 +189,7 @@
 
 void Schedule::crash(const std::size_t index)
 {
-    // The backend server beside it goes on with what it runs; nobody takes its answer.
+    // The node's backend server continues its runs; their answers are discarded.
     for (const auto &[exchange, entry] : m_entryOf) {
         if (entry == index) {
             m_history.exempt.push_back(exchange);
@@ -256,7 +256,7 @@
 {
     const Node &node = m_nodes[index];
     if (node.pausedUntil > m_clock.steadyNow()) {
-        // A paused daemon reads what came meanwhile once it goes on, in the order in which it came.
+        // A paused daemon handles queued events when it resumes, in order of arrival.
         plan(node.pausedUntil - m_clock.steadyNow(), [this, index, generation = node.generation, held = std::move(event)] {
             if (m_nodes[index].generation == generation) {
                 handleEvent(index, held);
@@ -324,7 +324,7 @@
 
 void Schedule::deliver(const std::size_t to, const protocol::Envelope &envelope)
 {
-    // Whichever life listens at the address gets the message; a paused one reads it later.
+    // The message goes to the incarnation that currently listens at the address; a paused one reads it later.
     handleEvent(to, decision::PeerMessage{.envelope = envelope});
 }
 
@@ -348,7 +348,7 @@
         });
         return;
     }
-    // The write may take effect before the asker gives up, or long after, or not at all.
+    // The write may take effect before the request times out, long after it, or not at all.
     const Duration effect = between(1, 3000);
     const bool isDone = m_random.fraction() < 0.7;
     plan(effect, [this, isDone, request = ask.request] {
@@ -491,7 +491,7 @@
     ++caller.sends;
     const int exchange = ++m_exchanges;
     const std::size_t entry = anyNode();
-    // A resend of a keyed request is the same request; one without a key is another.
+    // A resend with a key is the same request; a resend without a key is a new one.
     const std::string logicalId = caller.idempotent ? fmt::format("q{}.{}", caller.number, exchange) : fmt::format("q{}", caller.number);
     decision::CallerCall call;
     call.service = caller.service;
@@ -514,7 +514,7 @@
         auto key = retry::RequestKey::parse(m_callers[index].key);
         key = key.has_value() ? key : retry::RequestKey::parseUuid(m_callers[index].key);
         if (key.has_value() && m_random.fraction() < internal::prematureNextKeyShare) {
-            // A caller that takes the next key without having been told that the one before did not run.
+            // The caller uses the next key although the previous one was not answered as not-run.
             m_callers[index].key = key->next().text();
         }
         handleEvent(entry, decision::CallerGone{.exchange = {static_cast<std::uint64_t>(exchange)}});
--- a/test/history/schedule.hpp
+++ b/test/history/schedule.hpp
@@ -17,12 +17,12 @@
 namespace history
 {
 
-/*! @brief How hard a schedule is on the daemons; shares and counts, drawn from the seed. */
+/*! @brief Fault rates and counts of a schedule, drawn from the seed. */
 struct Faults
 {
     double loss{};
     double duplication{};
-    /*! @brief Share of messages that are held up for seconds. */
+    /*! @brief Share of messages that are delayed, by 100 ms to 5 s. */
     double delayed{};
     int pauses{};
     int crashes{};
@@ -31,7 +31,7 @@
     /*! @brief Share of the requests that the backend server refuses before it starts them. */
     double rejects{};
     int drains{};
-    /*! @brief Share of the calls that the sender's transport does not take. */
+    /*! @brief Share of the calls that the sender's transport does not accept. */
     double sendFailures{};
     /*! @brief Share of the platform's answers that are lost, after the write took effect or before it does. */
     double lostPlatformAnswers{};
@@ -50,13 +50,13 @@
 public:
     /**
      * @brief Draws a schedule.
-     * @param seed Decides everything.
+     * @param seed Determines the whole schedule.
      */
     explicit Schedule(std::uint64_t seed);
 
     /**
      * @brief Runs the schedule to its end.
-     * @return What was seen.
+     * @return The observed events.
      */
     [[nodiscard]] const History &run();
 
@@ -73,9 +73,9 @@
         std::unique_ptr<egretlatch::SeededRandom> random;
         std::unique_ptr<egretlatch::decision::Core> core;
         Time pausedUntil{};
-        /*! @brief Names the backend server beside it. */
+        /*! @brief Instance name of the node's backend server. */
         std::string instance;
-        /*! @brief Counts lives, so that what was meant for one does not reach the next. */
+        /*! @brief Number of boots; events planned for one generation do not reach the next. */
         int generation{};
     };
 
@@ -87,7 +87,7 @@
         bool idempotent{};
         std::string key;
         int sends{};
-        /*! @brief Whether it mints its keys itself, by its own clock. */
+        /*! @brief Set if the caller mints its keys itself, from its own clock. */
         bool mintsOwnKeys{};
         int open{-1};
         bool isDone{};
@@ -167,8 +167,8 @@
 };
 
 /**
- * @brief Gives the manifest that all schedules use.
- * @return Two services; a launch entry, and an idempotent statement, that both append to the archive.
+ * @brief Returns the manifest that all schedules use.
+ * @return Two services; a launch entry and an idempotent statement both append to the archive.
  */
 [[nodiscard]] std::shared_ptr<const egretlatch::manifest::Manifest> scheduleManifest();
 
