--- a/src/egretlatch/decision/action.hpp
+++ b/src/egretlatch/decision/action.hpp
@@ -110,7 +110,7 @@
 struct LogRequest
 {
     /*! @brief Event of the log line, without variable parts. */
-    std::string_view what;
+    std::string_view event;
     std::string requestName;
     std::string service;
     std::string kind;
--- a/src/egretlatch/decision/entry_attempts.cpp
+++ b/src/egretlatch/decision/entry_attempts.cpp
@@ -77,10 +77,10 @@
     return request;
 }
 
-void EntryHandler::logEvent(const std::string_view what, const Pending &pending, const protocol::CallAnswer &answer, const SteadyTime now)
+void EntryHandler::logEvent(const std::string_view event, const Pending &pending, const protocol::CallAnswer &answer, const SteadyTime now)
 {
     m_context.actions.emplace_back(LogRequest{
-        .what = what,
+        .event = event,
         .requestName = pending.call.requestName,
         .service = pending.call.service,
         .kind = pending.call.kind,
--- a/src/egretlatch/decision/entry_handler.hpp
+++ b/src/egretlatch/decision/entry_handler.hpp
@@ -229,7 +229,7 @@
     void makeAttempt(Pending pending, SteadyTime now);
     void endAttempt(const Pending &pending, const routing::AttemptResult &result, const protocol::CallAnswer *answer, SteadyTime now);
     void noteAnswer(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
-    void logEvent(std::string_view what, const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
+    void logEvent(std::string_view event, const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
     [[nodiscard]] bool mayMoveOn(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now) const;
     [[nodiscard]] bool mayTryElsewhere(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
     [[nodiscard]] bool takeRetry(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
--- a/src/egretlatch/sidecar/request_log.cpp
+++ b/src/egretlatch/sidecar/request_log.cpp
@@ -25,7 +25,7 @@
 
 void RequestLog::write(const decision::LogRequest &note) const
 {
-    m_logger.info(note.what,
+    m_logger.info(note.event,
                   {{"request", note.requestName},
                    {"service", note.service},
                    {"kind", note.kind},
