--- a/src/egretlatch/decision/crash_report.cpp
+++ b/src/egretlatch/decision/crash_report.cpp
@@ -23,7 +23,7 @@
                 .key = {.kind = membership::RumourKind::quarantine, .key = fmt::format("{}/{}/{:x}/{}", prefix, daemon.value, incarnation.value, number)},
                 .version = 1,
                 .payload = admission::toBytes(requests),
-                .remaining = admission::CrashSuspects::crashLife,
+                .remaining = admission::CrashSuspects::crashLifetime,
             }};
 }
 
@@ -51,7 +51,7 @@
         return;
     }
     for (const admission::RequestFingerprint request : requests) {
-        suspects.noteGoodElsewhere(request, now);
+        suspects.noteRemoteSuccess(request, now);
     }
 }
 
--- a/src/egretlatch/decision/entry_attempts.cpp
+++ b/src/egretlatch/decision/entry_attempts.cpp
@@ -199,7 +199,7 @@
     }
     control.noteChain({pending.call.service, pending.call.kind}, answer.chain);
     for (const protocol::ServiceLevel &level : answer.levels) {
-        control.noteLevel({.service = level.service, .noted = {.level = level.level, .at = now - level.age}});
+        control.noteLevel({.service = level.service, .reported = {.level = level.level, .at = now - level.age}});
     }
 }
 
--- a/src/egretlatch/decision/serving_handler.cpp
+++ b/src/egretlatch/decision/serving_handler.cpp
@@ -212,7 +212,7 @@
     }
     // A failed run may have ended before making all its calls.
     if (outcome == admission::RunOutcome::succeeded) {
-        m_paces.noteEnded(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
+        m_paces.noteCompleted(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
         m_context.entryControl->noteRun({
             .kind = {attempt.request.service, attempt.request.kind},
             .calls = attempt.innerCalls,
@@ -323,8 +323,8 @@
     answer.call = call;
     answer.receiver = incarnation;
     answer.load = load(now);
-    for (const admission::ServiceNews &news : m_context.entryControl->levelsBelow(m_context.roster.self().service, now)) {
-        answer.levels.push_back({.service = news.service, .level = news.noted.level, .age = now - news.noted.at});
+    for (const admission::ServiceLevelReport &news : m_context.entryControl->downstreamLevels(m_context.roster.self().service, now)) {
+        answer.levels.push_back({.service = news.service, .level = news.reported.level, .age = now - news.reported.at});
     }
     // The answer returns on the connection that the request arrived on, so no endpoint is needed.
     m_context.actions.emplace_back(SendToPeer{.to = daemon, .endpoint = {}, .message = std::move(answer)});
@@ -380,7 +380,7 @@
         return;
     }
     abandoned.verdict = retry::verdictOf(retry::AttemptEnd::aborted);
-    m_paces.noteCutShort(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
+    m_paces.noteAbandoned(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
     m_context.actions.emplace_back(AbortRun{.execution = execution});
     const admission::Observation observation{
         .outcome = admission::RunOutcome::abandoned, .latency = now - *attempt.started, .waitedForInner = attempt.innerWait};
--- a/src/egretlatch/decision/serving_runs.cpp
+++ b/src/egretlatch/decision/serving_runs.cpp
@@ -125,7 +125,7 @@
         return;
     }
     const admission::RequestFingerprint request = fingerprint(attempt);
-    if (m_context.suspects.noteGood(request)) {
+    if (m_context.suspects.noteSuccess(request)) {
         m_crashReports.push_back(CrashReport::forSuccess(m_context.self, m_context.incarnation, ++m_lastCrashReport, request));
     }
 }
--- a/src/egretlatch/sidecar/sidecar.cpp
+++ b/src/egretlatch/sidecar/sidecar.cpp
@@ -252,7 +252,7 @@
         m_logger.info("departure heard", {{"instance", heard->instance}});
     } else if (const auto *const raised = std::get_if<decision::IncarnationRaised>(&action)) {
         m_logger.warning("life raised", {{"from", raised->from.value}, {"to", raised->to.value}});
-        m_peers.beginLife(raised->to);
+        m_peers.beginIncarnation(raised->to);
     } else if (std::holds_alternative<decision::Drained>(action)) {
         endNow("nothing is under way");
     }
--- a/test/egretlatch/decision/crash_report.cpp
+++ b/test/egretlatch/decision/crash_report.cpp
@@ -65,8 +65,8 @@
     admission::CrashSuspects suspects;
     CrashReport::forSuccess({"a"}, {1}, 1, 7).apply(suspects, start);
     for (const std::uint64_t number : {1, 2, 3}) {
-        CrashReport::forCrash({"b"}, {1}, number, {7}).apply(suspects, start + admission::CrashSuspects::goodLife);
+        CrashReport::forCrash({"b"}, {1}, number, {7}).apply(suspects, start + admission::CrashSuspects::successLifetime);
     }
 
-    CHECK(suspects.isQuarantined(7, start + admission::CrashSuspects::goodLife));
+    CHECK(suspects.isQuarantined(7, start + admission::CrashSuspects::successLifetime));
 }
