--- a/src/egretlatch/decision/configuration_outlet.hpp
+++ b/src/egretlatch/decision/configuration_outlet.hpp
@@ -7,16 +7,16 @@
 namespace egretlatch::decision
 {
 
-/*! @brief Turns what the configuration decides into actions of the core. */
+/*! @brief Translates the output of the configuration follower into actions of the core. */
 class ConfigurationOutlet final : public configuration::Outlet
 {
 public:
     /**
      * @brief Builds an outlet.
-     * @param surroundings State of the core; must outlive the outlet.
-     * @param contacts Daemons to turn to while the roster knows none of them.
+     * @param context State of the core; must outlive the outlet.
+     * @param contacts Daemons to use as peers while the roster has none.
      */
-    ConfigurationOutlet(CoreContext &surroundings, std::vector<configuration::Peer> contacts);
+    ConfigurationOutlet(CoreContext &context, std::vector<configuration::Peer> contacts);
 
     [[nodiscard]] store::RequestId ask(store::Request request) override;
     void send(const configuration::Peer &peer, configuration::PeerNews news) override;
@@ -25,7 +25,7 @@
     void count(std::string_view what) override;
 
 private:
-    CoreContext &m_surroundings;
+    CoreContext &m_context;
     std::vector<configuration::Peer> m_contacts;
 };
 
--- a/src/egretlatch/decision/crash_detector.cpp
+++ b/src/egretlatch/decision/crash_detector.cpp
@@ -6,40 +6,40 @@
 namespace internal
 {
 
-// The next request after a crash comes within this time at all but an idle server, where a crash hurts least.
-constexpr std::chrono::seconds longestBetween{2};
-// A server that crashed is back within some seconds.
-constexpr std::chrono::seconds longestAbsence{10};
+// After a crash the next request arrives within this time, except at an idle server, where a crash matters least.
+constexpr std::chrono::seconds maxConnectFailureDelay{2};
+// A crashed server is back within a few seconds.
+constexpr std::chrono::seconds maxRestartTime{10};
 
 } // namespace internal
 
-void CrashDetector::noteLost(const admission::RequestFingerprint request, const SteadyTime now)
+void CrashDetector::noteLostRun(const admission::RequestFingerprint request, const SteadyTime now)
 {
-    while (!m_lost.empty() && now - m_lost.front().first > internal::longestAbsence) {
-        m_lost.pop_front();
+    while (!m_lostRuns.empty() && now - m_lostRuns.front().first > internal::maxRestartTime) {
+        m_lostRuns.pop_front();
     }
-    m_lost.emplace_back(now, request);
+    m_lostRuns.emplace_back(now, request);
 }
 
-std::vector<admission::RequestFingerprint> CrashDetector::noteNeverConnected(const SteadyTime now)
+std::vector<admission::RequestFingerprint> CrashDetector::noteConnectFailure(const SteadyTime now)
 {
-    return takeLost(internal::longestBetween, now);
+    return takeLostRuns(internal::maxConnectFailureDelay, now);
 }
 
-std::vector<admission::RequestFingerprint> CrashDetector::noteReplaced(const SteadyTime now)
+std::vector<admission::RequestFingerprint> CrashDetector::noteReplacement(const SteadyTime now)
 {
-    return takeLost(internal::longestAbsence, now);
+    return takeLostRuns(internal::maxRestartTime, now);
 }
 
-std::vector<admission::RequestFingerprint> CrashDetector::takeLost(const Duration longestAgo, const SteadyTime now)
+std::vector<admission::RequestFingerprint> CrashDetector::takeLostRuns(const Duration maxAge, const SteadyTime now)
 {
     std::vector<admission::RequestFingerprint> running;
-    for (const auto &[when, request] : m_lost) {
-        if (now - when <= longestAgo) {
+    for (const auto &[lostAt, request] : m_lostRuns) {
+        if (now - lostAt <= maxAge) {
             running.push_back(request);
         }
     }
-    m_lost.clear();
+    m_lostRuns.clear();
     return running;
 }
 
--- a/src/egretlatch/decision/crash_report.cpp
+++ b/src/egretlatch/decision/crash_report.cpp
@@ -10,17 +10,17 @@
 namespace internal
 {
 
-constexpr std::string_view crash = "crash";
-constexpr std::string_view well = "well";
-
-[[nodiscard]] static CrashReport newsOf(const std::string_view what,
-                                        const DaemonId &daemon,
-                                        const Incarnation incarnation,
-                                        const std::uint64_t number,
-                                        const std::vector<admission::RequestFingerprint> &requests)
+constexpr std::string_view crashPrefix = "crash";
+constexpr std::string_view successPrefix = "well";
+
+[[nodiscard]] static CrashReport makeReport(const std::string_view prefix,
+                                            const DaemonId &daemon,
+                                            const Incarnation incarnation,
+                                            const std::uint64_t number,
+                                            const std::vector<admission::RequestFingerprint> &requests)
 {
     return {.rumour = {
-                .key = {.kind = membership::RumourKind::quarantine, .key = fmt::format("{}/{}/{:x}/{}", what, daemon.value, incarnation.value, number)},
+                .key = {.kind = membership::RumourKind::quarantine, .key = fmt::format("{}/{}/{:x}/{}", prefix, daemon.value, incarnation.value, number)},
                 .version = 1,
                 .payload = admission::toBytes(requests),
                 .remaining = admission::CrashSuspects::crashLifetime,
@@ -29,23 +29,24 @@
 
 } // namespace internal
 
-CrashReport CrashReport::crashed(const DaemonId &daemon,
-                                 const Incarnation incarnation,
-                                 const std::uint64_t number,
-                                 const std::vector<admission::RequestFingerprint> &running)
+CrashReport CrashReport::forCrash(const DaemonId &daemon,
+                                  const Incarnation incarnation,
+                                  const std::uint64_t number,
+                                  const std::vector<admission::RequestFingerprint> &running)
 {
-    return internal::newsOf(internal::crash, daemon, incarnation, number, running);
+    return internal::makeReport(internal::crashPrefix, daemon, incarnation, number, running);
 }
 
-CrashReport CrashReport::ranWell(const DaemonId &daemon, const Incarnation incarnation, const std::uint64_t number, const admission::RequestFingerprint request)
+CrashReport
+CrashReport::forSuccess(const DaemonId &daemon, const Incarnation incarnation, const std::uint64_t number, const admission::RequestFingerprint request)
 {
-    return internal::newsOf(internal::well, daemon, incarnation, number, {request});
+    return internal::makeReport(internal::successPrefix, daemon, incarnation, number, {request});
 }
 
 void CrashReport::apply(admission::CrashSuspects &suspects, const SteadyTime now) const
 {
     const std::vector<admission::RequestFingerprint> requests = admission::fingerprintsFrom(rumour.payload);
-    if (rumour.key.key.starts_with(internal::crash)) {
+    if (rumour.key.key.starts_with(internal::crashPrefix)) {
         suspects.noteCrash(rumour.key.key, requests, now);
         return;
     }
