--- a/src/egretlatch/decision/entry_attempts.cpp
+++ b/src/egretlatch/decision/entry_attempts.cpp
@@ -210,7 +210,7 @@
     const std::size_t daemons = m_context.roster.participants().size() + 1;
     if (m_rules.retrySlack.has_value() && daemons != m_fleetSize) {
         m_fleetSize = daemons;
-        m_ratio.setMostSaved(daemons < 2 ? 0.0 : *m_rules.retrySlack / static_cast<double>(daemons));
+        m_ratio.setMaxSaved(daemons < 2 ? 0.0 : *m_rules.retrySlack / static_cast<double>(daemons));
     }
 }
 
--- a/src/egretlatch/decision/entry_handler.cpp
+++ b/src/egretlatch/decision/entry_handler.cpp
@@ -69,7 +69,7 @@
 {
     CallerAnswer answer;
     // An earlier attempt with the key may have run at a daemon that did not consider or detect this as an error.
-    answer.verdict = retry::verdictUnread(call.key);
+    answer.verdict = retry::verdictBeforeLookup(call.key);
     answer.status = status;
     answer.service = call.service;
     answer.kind = call.kind;
@@ -137,7 +137,7 @@
         if (pending.isCallerRepeat) {
             m_ratio.charge(service->name);
         } else {
-            m_ratio.noteFirst(service->name, service->retryRatio);
+            m_ratio.noteFirstAttempt(service->name, service->retryRatio);
         }
     }
     makeAttempt(std::move(pending), now);
--- a/src/egretlatch/decision/serving_handler.cpp
+++ b/src/egretlatch/decision/serving_handler.cpp
@@ -75,7 +75,7 @@
     // A message delivered twice would start a request twice, or start one that was refused as not run. A duplicate has the
     // same call id and incarnation, while a retry has a new call id. The check precedes all refusals: a refused call id must
     // not be used again.
-    if (!m_window.pass(from, incarnation, request.call)) {
+    if (!m_window.accept(from, incarnation, request.call)) {
         m_context.metrics.count("messages_dropped", "duplicate-request");
         return;
     }
@@ -291,7 +291,7 @@
 void ServingHandler::refuse(const ExecutionId execution, const admission::GateRefusal &refusal, const SteadyTime now)
 {
     protocol::CallAnswer refused;
-    refused.verdict = retry::verdictOf(retry::AttemptEnd::leftQueue);
+    refused.verdict = retry::verdictOf(retry::AttemptEnd::removedFromQueue);
     refused.refusal = m_context.refuse(refusal.reason, refusal.rule, refusal.figures, refusal.retryAfter);
     refused.status = account::httpStatus(refusal.reason);
     answer(execution, std::move(refused), now);
@@ -300,7 +300,7 @@
 void ServingHandler::refuseImmediately(const Origin &origin, const protocol::CallRequest &request, const admission::GateRefusal &refusal, const SteadyTime now)
 {
     protocol::CallAnswer refused;
-    refused.verdict = retry::verdictOf(retry::AttemptEnd::refusedAtDoor);
+    refused.verdict = retry::verdictOf(retry::AttemptEnd::refusedOnArrival);
     refused.refusal = m_context.refuse(refusal.reason, refusal.rule, refusal.figures, refusal.retryAfter);
     refused.status = account::httpStatus(refusal.reason);
     refused.attemptsReturned = request.attemptsLent;
@@ -311,7 +311,7 @@
 {
     protocol::CallAnswer refused;
     const bool isDeliveredOnce = m_context.delivery == Delivery::oneIncarnation;
-    refused.verdict = retry::verdictOf(isDeliveredOnce ? retry::AttemptEnd::missedEarlierLife : retry::AttemptEnd::meantForEarlierLife);
+    refused.verdict = retry::verdictOf(isDeliveredOnce ? retry::AttemptEnd::missedEarlierIncarnation : retry::AttemptEnd::meantForEarlierIncarnation);
     refused.refusal = m_context.refuse(account::RefusalReason::serverLost, "the request was meant for an earlier life of this daemon");
     refused.status = account::httpStatus(refused.refusal->reason);
     send(origin, std::move(refused), now);
@@ -375,7 +375,7 @@
     abandoned.refusal = m_context.refuse(reason, isLeaving ? "the backend server is leaving" : "nobody waits for the answer any more");
     abandoned.status = account::httpStatus(abandoned.refusal->reason);
     if (!attempt.started.has_value()) {
-        abandoned.verdict = retry::verdictOf(m_gate->withdraw(execution) ? retry::AttemptEnd::leftQueue : retry::AttemptEnd::aborted);
+        abandoned.verdict = retry::verdictOf(m_gate->withdraw(execution) ? retry::AttemptEnd::removedFromQueue : retry::AttemptEnd::aborted);
         answer(execution, std::move(abandoned), now);
         return;
     }
--- a/src/egretlatch/decision/serving_handler.hpp
+++ b/src/egretlatch/decision/serving_handler.hpp
@@ -14,7 +14,7 @@
 #include <egretlatch/decision/crash_report.hpp>
 #include <egretlatch/decision/event.hpp>
 #include <egretlatch/protocol/messages.hpp>
-#include <egretlatch/retry/call_window.hpp>
+#include <egretlatch/retry/replay_window.hpp>
 
 namespace egretlatch::decision
 {
@@ -240,7 +240,7 @@
     std::map<ExecutionId, Attempt> m_attempts;
     std::map<Origin, ExecutionId> m_byOrigin;
     std::map<std::string, ExecutionId> m_byName;
-    retry::CallWindow m_window;
+    retry::ReplayWindow m_window;
     admission::PaceMeter m_paces;
     CrashDetector m_crashDetector;
     std::vector<CrashReport> m_crashReports;
