--- a/src/egretlatch/daemon/caller_server.cpp
+++ b/src/egretlatch/daemon/caller_server.cpp
@@ -272,7 +272,7 @@
 
 void CallerServer::handleCall(const QHttpServerRequest &request, QTcpSocket *const socket)
 {
-    const Verdict verdict = retry::verdictUnread(request.value(keyHeader).toStdString());
+    const Verdict verdict = retry::verdictBeforeLookup(request.value(keyHeader).toStdString());
     if (request.body().size() > m_maxBodyBytes) {
         const std::string mistake = fmt::format("the body is larger than {} bytes", m_maxBodyBytes);
         internal::writeMistake(makeResponder(request, socket), internal::StatusCode::PayloadTooLarge, mistake, verdict);
--- a/src/egretlatch/decision/entry_attempts.cpp
+++ b/src/egretlatch/decision/entry_attempts.cpp
@@ -209,7 +209,7 @@
     const std::size_t daemons = m_surroundings.roster.participants().size() + 1;
     if (m_rules.retrySlack.has_value() && daemons != m_daemons) {
         m_daemons = daemons;
-        m_ratio.setMostSaved(daemons < 2 ? 0.0 : *m_rules.retrySlack / static_cast<double>(daemons));
+        m_ratio.setMaxSaved(daemons < 2 ? 0.0 : *m_rules.retrySlack / static_cast<double>(daemons));
     }
 }
 
--- a/src/egretlatch/decision/entry_handler.cpp
+++ b/src/egretlatch/decision/entry_handler.cpp
@@ -72,7 +72,7 @@
 {
     CallerAnswer answer;
     // An earlier attempt with the key may have been made where the mistake was not one, or not seen.
-    answer.verdict = retry::verdictUnread(call.key);
+    answer.verdict = retry::verdictBeforeLookup(call.key);
     answer.status = status;
     answer.service = call.service;
     answer.kind = call.kind;
@@ -140,7 +140,7 @@
         if (pending.isOfRepeat) {
             m_ratio.charge(service->name);
         } else {
-            m_ratio.noteFirst(service->name, service->retryRatio);
+            m_ratio.noteFirstAttempt(service->name, service->retryRatio);
         }
     }
     makeAttempt(std::move(pending), now);
--- a/src/egretlatch/decision/entry_handler.hpp
+++ b/src/egretlatch/decision/entry_handler.hpp
@@ -209,7 +209,7 @@
     void shareRetrySlack();
     void own(Pending pending, const retry::RequestKey &key, SteadyTime now);
     void ownUnnamed(Pending pending, SteadyTime now);
-    void answerFinding(Pending pending, const retry::KeyFinding &finding, SteadyTime now);
+    void answerFinding(Pending pending, const retry::KeyLookup &finding, SteadyTime now);
     [[nodiscard]] bool inheritAttempts(Pending &pending, const retry::RequestKey &key, std::uint64_t request);
     void beginOwned(Pending pending, std::chrono::milliseconds age, std::uint64_t request, SteadyTime now);
     void forward(Pending pending, const retry::KeyOwner &owner, SteadyTime now);
--- a/src/egretlatch/decision/serving_handler.cpp
+++ b/src/egretlatch/decision/serving_handler.cpp
@@ -74,7 +74,7 @@
     // A transport that delivers a message twice would start a request twice, or start one that was refused as not run.
     // The second copy names the same call of the same incarnation, so it is told from a retry, which has a call id of its
     // own. It stands before all refusals: a call id that was refused is spent.
-    if (!m_window.pass(from, incarnation, request.call)) {
+    if (!m_window.accept(from, incarnation, request.call)) {
         m_surroundings.metrics.count("messages_dropped", "duplicate-request");
         return;
     }
@@ -289,7 +289,7 @@
 void ServingHandler::refuse(const ExecutionId execution, const admission::GateRefusal &refusal, const SteadyTime now)
 {
     protocol::CallAnswer refused;
-    refused.verdict = retry::verdictOf(retry::AttemptEnd::leftQueue);
+    refused.verdict = retry::verdictOf(retry::AttemptEnd::removedFromQueue);
     refused.refusal = m_surroundings.refuse(refusal.reason, refusal.rule, refusal.figures, refusal.retryAfter);
     refused.status = account::httpStatus(refusal.reason);
     answer(execution, std::move(refused), now);
@@ -298,7 +298,7 @@
 void ServingHandler::refuseAtOnce(const Origin &origin, const protocol::CallRequest &request, const admission::GateRefusal &refusal, const SteadyTime now)
 {
     protocol::CallAnswer refused;
-    refused.verdict = retry::verdictOf(retry::AttemptEnd::refusedAtDoor);
+    refused.verdict = retry::verdictOf(retry::AttemptEnd::refusedOnArrival);
     refused.refusal = m_surroundings.refuse(refusal.reason, refusal.rule, refusal.figures, refusal.retryAfter);
     refused.status = account::httpStatus(refusal.reason);
     refused.attemptsReturned = request.attemptsLent;
@@ -309,7 +309,7 @@
 {
     protocol::CallAnswer refused;
     const bool isUnheard = m_surroundings.delivery == Delivery::oneLife;
-    refused.verdict = retry::verdictOf(isUnheard ? retry::AttemptEnd::missedEarlierLife : retry::AttemptEnd::meantForEarlierLife);
+    refused.verdict = retry::verdictOf(isUnheard ? retry::AttemptEnd::missedEarlierIncarnation : retry::AttemptEnd::meantForEarlierIncarnation);
     refused.refusal = m_surroundings.refuse(account::RefusalReason::serverLost, "the request was meant for an earlier life of this daemon");
     refused.status = account::httpStatus(refused.refusal->reason);
     send(origin, std::move(refused), now);
@@ -373,7 +373,7 @@
     abandoned.refusal = m_surroundings.refuse(reason, isLeaving ? "the backend server is leaving" : "nobody waits for the answer any more");
     abandoned.status = account::httpStatus(abandoned.refusal->reason);
     if (!attempt.started.has_value()) {
-        abandoned.verdict = retry::verdictOf(m_gate->withdraw(execution) ? retry::AttemptEnd::leftQueue : retry::AttemptEnd::aborted);
+        abandoned.verdict = retry::verdictOf(m_gate->withdraw(execution) ? retry::AttemptEnd::removedFromQueue : retry::AttemptEnd::aborted);
         answer(execution, std::move(abandoned), now);
         return;
     }
--- a/src/egretlatch/decision/serving_handler.hpp
+++ b/src/egretlatch/decision/serving_handler.hpp
@@ -14,7 +14,7 @@
 #include <egretlatch/decision/event.hpp>
 #include <egretlatch/decision/surroundings.hpp>
 #include <egretlatch/protocol/messages.hpp>
-#include <egretlatch/retry/call_window.hpp>
+#include <egretlatch/retry/replay_window.hpp>
 
 namespace egretlatch::decision
 {
@@ -239,7 +239,7 @@
     std::map<ExecutionId, Attempt> m_attempts;
     std::map<Origin, ExecutionId> m_byOrigin;
     std::map<std::string, ExecutionId> m_byName;
-    retry::CallWindow m_window;
+    retry::ReplayWindow m_window;
     admission::PaceMeter m_paces;
     CrashWitness m_witness;
     std::vector<CrashNews> m_crashNews;
--- a/src/egretlatch/retry/preferred_shards.cpp
+++ b/src/egretlatch/retry/preferred_shards.cpp
@@ -16,7 +16,7 @@
     return XXH3_64bits_withSeed(daemon.value.data(), daemon.value.size(), static_cast<std::uint64_t>(shard));
 }
 
-[[nodiscard]] static std::vector<DaemonId> othersAtWork(const membership::Roster &roster)
+[[nodiscard]] static std::vector<DaemonId> otherServingDaemons(const membership::Roster &roster)
 {
     std::vector<DaemonId> others;
     for (const membership::Member &member : roster.members()) {
@@ -31,15 +31,15 @@
 
 void PreferredShards::update(const membership::Roster &roster)
 {
-    if (m_seenVersion == roster.version()) {
+    if (m_rosterVersion == roster.version()) {
         return;
     }
-    m_seenVersion = roster.version();
+    m_rosterVersion = roster.version();
     m_shards.reset();
     if (roster.self().state != membership::MemberState::serving) {
         return;
     }
-    const std::vector<DaemonId> others = internal::othersAtWork(roster);
+    const std::vector<DaemonId> others = internal::otherServingDaemons(roster);
     for (int shard = 0; shard < shardCount; ++shard) {
         const std::uint64_t own = internal::weightOf(roster.self().id, shard);
         const bool isHighest = std::none_of(others.begin(), others.end(), [shard, own](const DaemonId &other) {
--- a/src/egretlatch/retry/preferred_shards.hpp
+++ b/src/egretlatch/retry/preferred_shards.hpp
@@ -38,7 +38,7 @@
 
 private:
     std::bitset<shardCount> m_shards;
-    std::optional<std::uint64_t> m_seenVersion;
+    std::optional<std::uint64_t> m_rosterVersion;
 };
 
 } // namespace egretlatch::retry
--- a/src/egretlatch/retry/ratio_budget.cpp
+++ b/src/egretlatch/retry/ratio_budget.cpp
@@ -5,12 +5,12 @@
 namespace egretlatch::retry
 {
 
-void RatioBudget::setMostSaved(const double mostSaved)
+void RatioBudget::setMaxSaved(const double maxSaved)
 {
-    m_mostSaved = mostSaved;
+    m_maxSaved = maxSaved;
 }
 
-void RatioBudget::noteFirst(const std::string &service, const double ratio)
+void RatioBudget::noteFirstAttempt(const std::string &service, const double ratio)
 {
     const auto found = m_spent.find(service);
     if (found != m_spent.end()) {
@@ -21,7 +21,7 @@
 bool RatioBudget::take(const std::string &service)
 {
     double &spent = m_spent[service];
-    if (spent + 1.0 > m_mostSaved) {
+    if (spent + 1.0 > m_maxSaved) {
         return false;
     }
     spent += 1.0;
@@ -31,14 +31,14 @@
 void RatioBudget::charge(const std::string &service)
 {
     double &spent = m_spent[service];
-    spent = std::min(spent + 1.0, m_mostSaved + mostOwed);
+    spent = std::min(spent + 1.0, m_maxSaved + maxDebt);
 }
 
 std::map<std::string, double> RatioBudget::left() const
 {
     std::map<std::string, double> left;
     for (const auto &[service, spent] : m_spent) {
-        left.emplace(service, m_mostSaved - spent);
+        left.emplace(service, m_maxSaved - spent);
     }
     return left;
 }
--- a/src/egretlatch/retry/ratio_budget.hpp
+++ b/src/egretlatch/retry/ratio_budget.hpp
@@ -17,22 +17,22 @@
 {
 public:
     /*! @brief Retries that may be saved up, so that a service with few calls can retry at all. */
-    static constexpr double mostSaved = 10.0;
+    static constexpr double defaultMaxSaved = 10.0;
     /*! @brief Retries that a service may owe; what a second of a busy daemon can charge, so no debt outlasts its cause. */
-    static constexpr double mostOwed = 100.0;
+    static constexpr double maxDebt = 100.0;
 
     /**
-     * @brief Sets how many retries may be saved up for a service; by default mostSaved.
-     * @param mostSaved Their number.
+     * @brief Sets how many retries may be saved up for a service; by default defaultMaxSaved.
+     * @param maxSaved Their number.
      */
-    void setMostSaved(double mostSaved);
+    void setMaxSaved(double maxSaved);
 
     /**
      * @brief Notes a first attempt.
      * @param service Name of the service.
      * @param ratio Retries that one first attempt pays for.
      */
-    void noteFirst(const std::string &service, double ratio);
+    void noteFirstAttempt(const std::string &service, double ratio);
 
     /**
      * @brief Pays for a retry.
@@ -57,7 +57,7 @@
     [[nodiscard]] std::map<std::string, double> left() const;
 
 private:
-    double m_mostSaved{mostSaved};
+    double m_maxSaved{defaultMaxSaved};
     /*! @brief Retries spent and not yet earned back, by service; so a bound that is raised counts at once. */
     std::map<std::string, double> m_spent;
 };
--- a/src/egretlatch/retry/call_window.cpp
+++ b/src/egretlatch/retry/replay_window.cpp
@@ -1,11 +1,11 @@
-#include <egretlatch/retry/call_window.hpp>
+#include <egretlatch/retry/replay_window.hpp>
 
 #include <algorithm>
 
 namespace egretlatch::retry
 {
 
-bool CallWindow::pass(const DaemonId &daemon, const Incarnation incarnation, const CallId call)
+bool ReplayWindow::accept(const DaemonId &daemon, const Incarnation incarnation, const CallId call)
 {
     Window &window = m_windows[daemon];
     if (incarnation < window.incarnation) {
@@ -18,8 +18,8 @@
         return false;
     }
     if (call.value > window.highest) {
-        const std::uint64_t forgotten = std::min<std::uint64_t>(call.value - window.highest, size);
-        for (std::uint64_t step = 1; step <= forgotten; ++step) {
+        const std::uint64_t advance = std::min<std::uint64_t>(call.value - window.highest, size);
+        for (std::uint64_t step = 1; step <= advance; ++step) {
             window.seen.reset((window.highest + step) % size);
         }
         window.highest = call.value;
--- a/src/egretlatch/retry/request_key.cpp
+++ b/src/egretlatch/retry/request_key.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t nonceDigits = 32;
 constexpr int hexadecimal = 16;
 constexpr int decimal = 10;
-constexpr int mostResends = 99;
+constexpr int maxResends = 99;
 constexpr std::size_t uuidSize = 36;
 
 /*! @brief Reads a text from its front; fails for good at the first thing that does not fit. */
@@ -83,24 +83,24 @@
 }
 
 // Only the form that next() writes is a resend number: no leading zero, within the bound.
-[[nodiscard]] static int resendOf(const std::string_view suffix)
+[[nodiscard]] static int parseResend(const std::string_view suffix)
 {
-    const std::size_t mark = suffix.rfind('~');
-    if (mark == std::string_view::npos || mark + 1 == suffix.size() || suffix[mark + 1] == '0') {
+    const std::size_t separator = suffix.rfind('~');
+    if (separator == std::string_view::npos || separator + 1 == suffix.size() || suffix[separator + 1] == '0') {
         return 0;
     }
     int value = 0;
     const char *const end = suffix.data() + suffix.size();
-    const auto parsed = std::from_chars(suffix.data() + mark + 1, end, value, decimal);
-    return parsed.ec == std::errc{} && parsed.ptr == end && value > 0 && value <= mostResends ? value : 0;
+    const auto parsed = std::from_chars(suffix.data() + separator + 1, end, value, decimal);
+    return parsed.ec == std::errc{} && parsed.ptr == end && value > 0 && value <= maxResends ? value : 0;
 }
 
 } // namespace internal
 
 bool isUsableKey(const std::string_view key) noexcept
 {
-    constexpr std::size_t longestKey = 255;
-    return key.size() <= longestKey && std::all_of(key.begin(), key.end(), [](const char character) {
+    constexpr std::size_t maxKeySize = 255;
+    return key.size() <= maxKeySize && std::all_of(key.begin(), key.end(), [](const char character) {
                return character > ' ' && character <= '~';
            });
 }
@@ -135,7 +135,7 @@
     key.m_text = text;
     key.m_owner = {.daemon = {std::string{*daemon}}, .incarnation = {*incarnation}};
     key.m_age = std::chrono::milliseconds{static_cast<std::int64_t>(*age)};
-    key.m_resend = internal::resendOf(reader.rest());
+    key.m_resend = internal::parseResend(reader.rest());
     return key;
 }
 
@@ -145,9 +145,9 @@
     const std::string_view suffix = text.substr(stem.size());
     const std::optional<Uuid> uuid = Uuid::parse(stem);
     const std::optional<WallTime> minted = uuid.has_value() ? uuid->mintedAt() : std::nullopt;
-    const int resend = internal::resendOf(suffix);
-    const bool isWhole = suffix.empty() || suffix == fmt::format("~{}", resend);
-    if (!minted.has_value() || !isWhole) {
+    const int resend = internal::parseResend(suffix);
+    const bool isWellFormed = suffix.empty() || suffix == fmt::format("~{}", resend);
+    if (!minted.has_value() || !isWellFormed) {
         return std::nullopt;
     }
     RequestKey key;
@@ -168,8 +168,8 @@
 
 RequestKey RequestKey::derive(const std::string_view identity) const
 {
-    const std::string whole = fmt::format("{}\n{}", m_text, identity);
-    const XXH128_hash_t hash = XXH3_128bits(whole.data(), whole.size());
+    const std::string input = fmt::format("{}\n{}", m_text, identity);
+    const XXH128_hash_t hash = XXH3_128bits(input.data(), input.size());
     RequestKey key;
     key.m_text = internal::compose(m_owner, m_age, hash.high64, hash.low64);
     key.m_owner = m_owner;
--- a/src/egretlatch/retry/shard_grants.cpp
+++ b/src/egretlatch/retry/shard_grants.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view rowPrefix = "key-shard/";
 // Keys minted while the last calls of a leaving daemon come in are still its own.
-constexpr std::chrono::seconds cutLead{2};
+constexpr std::chrono::seconds releaseDelay{2};
 
 [[nodiscard]] static std::chrono::milliseconds toMilliseconds(const WallTime wall)
 {
@@ -42,15 +42,15 @@
 {
     // A row in memory was read from the table, or written to it with the write known to have taken effect; what was
     // merely asked for, or may have been written, is not in it.
-    const std::optional<std::chrono::milliseconds> cutAt = m_shards.at(static_cast<std::size_t>(shardOf(key))).cutAt;
-    const bool isGivenUp = cutAt.has_value() && internal::toMilliseconds(*key.mintedAt()) >= *cutAt;
-    return ownerOf(key) == m_self && !isGivenUp;
+    const std::optional<std::chrono::milliseconds> releasedFrom = m_shards.at(static_cast<std::size_t>(shardOf(key))).releasedFrom;
+    const bool isReleased = releasedFrom.has_value() && internal::toMilliseconds(*key.mintedAt()) >= *releasedFrom;
+    return ownerOf(key) == m_self && !isReleased;
 }
 
 std::vector<store::Request> ShardGrants::tick(const WallTime wall, const SteadyTime now, const IsPreferred &isPreferred)
 {
     std::vector<store::Request> requests;
-    if (!m_isReading && now >= m_readAt) {
+    if (!m_isReading && now >= m_nextReadAt) {
         m_isReading = true;
         requests.emplace_back(store::TableScan{.prefix = std::string{internal::rowPrefix}, .after = {}, .limit = shardCount});
     }
@@ -58,42 +58,43 @@
         return requests;
     }
     for (int number = 0; number < shardCount; ++number) {
-        if (std::optional<store::Request> request = askFor(number, internal::toMilliseconds(wall), now, isPreferred)) {
+        if (std::optional<store::Request> request = nextRequest(number, internal::toMilliseconds(wall), now, isPreferred)) {
             requests.push_back(std::move(*request));
         }
     }
     return requests;
 }
 
-std::optional<store::Request> ShardGrants::askFor(const int number, const std::chrono::milliseconds wall, const SteadyTime now, const IsPreferred &isPreferred)
+std::optional<store::Request>
+ShardGrants::nextRequest(const int number, const std::chrono::milliseconds wall, const SteadyTime now, const IsPreferred &isPreferred)
 {
     Shard &shard = m_shards.at(static_cast<std::size_t>(number));
-    if (shard.isAsked || now < shard.askAt) {
+    if (shard.isRequestPending || now < shard.nextRequestAt) {
         return std::nullopt;
     }
     if (!shard.write.has_value()) {
         const std::optional<KeyInterval> last = shard.row.last();
-        const bool isHeld = last.has_value() && last->owner == m_self;
+        const bool isOwn = last.has_value() && last->owner == m_self;
         if (m_isLeaving) {
-            if (!isHeld || shard.cutAt.has_value() || last->until <= wall + internal::cutLead) {
+            if (!isOwn || shard.releasedFrom.has_value() || last->until <= wall + internal::releaseDelay) {
                 return std::nullopt;
             }
             // Given up before the table is told: another daemon may be granted the time as soon as the row is written.
-            shard.cutAt = wall + internal::cutLead;
-            startWrite(number, shard.row.cut(*shard.cutAt));
+            shard.releasedFrom = wall + internal::releaseDelay;
+            startWrite(number, shard.row.truncate(*shard.releasedFrom));
         } else {
             const bool isLongEnough = last.has_value() && last->until - wall > m_times.length / 2;
             if (isLongEnough) {
                 return std::nullopt;
             }
             if (!isPreferred(number)) {
-                shard.askAt = now + m_times.retryInterval;
+                shard.nextRequestAt = now + m_times.retryInterval;
                 return std::nullopt;
             }
             startWrite(number, shard.row.extend(m_self, wall + m_times.length));
         }
     }
-    shard.isAsked = true;
+    shard.isRequestPending = true;
     return shard.write->request();
 }
 
@@ -111,42 +112,42 @@
     });
 }
 
-void ShardGrants::noteAsked(const store::RequestId id, const store::Request &request)
+void ShardGrants::noteRequestSent(const store::RequestId id, const store::Request &request)
 {
     if (std::holds_alternative<store::TableScan>(request)) {
-        m_asked.emplace(id, std::nullopt);
+        m_pending.emplace(id, std::nullopt);
         return;
     }
     const auto *const write = std::get_if<store::TableWrite>(&request);
     const std::string &key = write != nullptr ? write->writes.front().key : std::get<store::TableRead>(request).key;
-    m_asked.emplace(id, shardOfRow(key));
+    m_pending.emplace(id, shardOfRow(key));
 }
 
 bool ShardGrants::take(const store::RequestId id, const store::Outcome &outcome, const SteadyTime now)
 {
-    const auto found = m_asked.find(id);
-    if (found == m_asked.end()) {
+    const auto found = m_pending.find(id);
+    if (found == m_pending.end()) {
         return false;
     }
     const std::optional<int> number = found->second;
-    m_asked.erase(found);
+    m_pending.erase(found);
     if (number.has_value()) {
-        takeWrite(m_shards.at(static_cast<std::size_t>(*number)), outcome, now);
+        finishWriteStep(m_shards.at(static_cast<std::size_t>(*number)), outcome, now);
         return true;
     }
     m_isReading = false;
     const bool isRead = outcome.has_value() && std::holds_alternative<store::RowsReply>(*outcome);
     if (isRead) {
-        takeRows(std::get<store::RowsReply>(*outcome).rows);
+        applyRows(std::get<store::RowsReply>(*outcome).rows);
         m_hasRead = true;
     }
     const std::chrono::milliseconds wait = isRead ? m_times.readInterval : m_times.retryInterval;
     // Half of the wait is jitter, so that a fleet that started together does not read together.
-    m_readAt = now + wait / 2 + std::chrono::milliseconds{m_random.below(static_cast<std::uint64_t>(wait.count()))};
+    m_nextReadAt = now + wait / 2 + std::chrono::milliseconds{m_random.below(static_cast<std::uint64_t>(wait.count()))};
     return true;
 }
 
-void ShardGrants::takeRows(const std::vector<store::Row> &rows)
+void ShardGrants::applyRows(const std::vector<store::Row> &rows)
 {
     for (const store::Row &row : rows) {
         const std::optional<int> number = shardOfRow(row.key);
@@ -165,14 +166,15 @@
     }
 }
 
-void ShardGrants::takeWrite(Shard &shard, const store::Outcome &outcome, const SteadyTime now)
+void ShardGrants::finishWriteStep(Shard &shard, const store::Outcome &outcome, const SteadyTime now)
 {
-    shard.isAsked = false;
+    shard.isRequestPending = false;
     switch (shard.write->take(outcome)) {
     case store::WriteStep::ask:
         return;
     case store::WriteStep::askLater:
-        shard.askAt = now + m_times.retryInterval / 2 + std::chrono::milliseconds{m_random.below(static_cast<std::uint64_t>(m_times.retryInterval.count()))};
+        shard.nextRequestAt =
+            now + m_times.retryInterval / 2 + std::chrono::milliseconds{m_random.below(static_cast<std::uint64_t>(m_times.retryInterval.count()))};
         return;
     case store::WriteStep::effected:
         shard.row = shard.written;
@@ -182,8 +184,8 @@
     }
     shard.write.reset();
     // The version that the row has now is not told by a write; all rows are read anew before the next one.
-    m_readAt = std::min(m_readAt, now);
-    shard.askAt = now + m_times.retryInterval;
+    m_nextReadAt = std::min(m_nextReadAt, now);
+    shard.nextRequestAt = now + m_times.retryInterval;
 }
 
 void ShardGrants::leave()
--- a/src/egretlatch/retry/shard_grants.hpp
+++ b/src/egretlatch/retry/shard_grants.hpp
@@ -78,7 +78,7 @@
      * @param id The id.
      * @param request The request.
      */
-    void noteAsked(store::RequestId id, const store::Request &request);
+    void noteRequestSent(store::RequestId id, const store::Request &request);
 
     /**
      * @brief Takes an outcome.
@@ -99,16 +99,16 @@
         std::uint64_t version{};
         std::optional<store::IdentifiedWrite> write;
         ShardRow written;
-        bool isAsked{};
-        SteadyTime askAt;
+        bool isRequestPending{};
+        SteadyTime nextRequestAt;
         /*! @brief Keys from here on are not run any more, whatever the row says. */
-        std::optional<std::chrono::milliseconds> cutAt;
+        std::optional<std::chrono::milliseconds> releasedFrom;
     };
 
-    [[nodiscard]] std::optional<store::Request> askFor(int number, std::chrono::milliseconds wall, SteadyTime now, const IsPreferred &isPreferred);
+    [[nodiscard]] std::optional<store::Request> nextRequest(int number, std::chrono::milliseconds wall, SteadyTime now, const IsPreferred &isPreferred);
     void startWrite(int number, ShardRow row);
-    void takeRows(const std::vector<store::Row> &rows);
-    void takeWrite(Shard &shard, const store::Outcome &outcome, SteadyTime now);
+    void applyRows(const std::vector<store::Row> &rows);
+    void finishWriteStep(Shard &shard, const store::Outcome &outcome, SteadyTime now);
     [[nodiscard]] static std::string rowKey(int number);
     [[nodiscard]] static std::optional<int> shardOfRow(const std::string &key);
 
@@ -116,11 +116,11 @@
     RandomSource &m_random;
     GrantTimes m_times;
     std::array<Shard, shardCount> m_shards;
-    std::map<store::RequestId, std::optional<int>> m_asked;
+    std::map<store::RequestId, std::optional<int>> m_pending;
     bool m_hasRead{};
     bool m_isReading{};
     bool m_isLeaving{};
-    SteadyTime m_readAt;
+    SteadyTime m_nextReadAt;
 };
 
 } // namespace egretlatch::retry
--- a/src/egretlatch/retry/shard_row.cpp
+++ b/src/egretlatch/retry/shard_row.cpp
@@ -61,21 +61,21 @@
 ShardRow ShardRow::extend(const KeyOwner &owner, const std::chrono::milliseconds until) const
 {
     ShardRow row = *this;
-    const std::optional<KeyInterval> before = last();
-    if (before.has_value() && before->owner == owner) {
-        row.m_intervals.back().until = std::max(before->until, until);
+    const std::optional<KeyInterval> previous = last();
+    if (previous.has_value() && previous->owner == owner) {
+        row.m_intervals.back().until = std::max(previous->until, until);
         return row;
     }
     // Time that nobody was granted goes with what follows it: nobody can have run its keys.
-    const std::chrono::milliseconds from = before.has_value() ? before->until : std::chrono::milliseconds{0};
+    const std::chrono::milliseconds from = previous.has_value() ? previous->until : std::chrono::milliseconds{0};
     row.m_intervals.push_back({.from = from, .until = std::max(from, until), .owner = owner});
-    if (row.m_intervals.size() > mostIntervals) {
+    if (row.m_intervals.size() > maxIntervals) {
         row.m_intervals.erase(row.m_intervals.begin());
     }
     return row;
 }
 
-ShardRow ShardRow::cut(const std::chrono::milliseconds until) const
+ShardRow ShardRow::truncate(const std::chrono::milliseconds until) const
 {
     ShardRow row = *this;
     KeyInterval &interval = row.m_intervals.back();
--- a/src/egretlatch/retry/shard_row.hpp
+++ b/src/egretlatch/retry/shard_row.hpp
@@ -37,14 +37,14 @@
 /**
  * @brief The intervals of one shard, as a row of the table.
  *
- * Only extend() and cut() make a new row of an old one, and the row is written on condition that the old one still
+ * Only extend() and truncate() make a new row of an old one, and the row is written on condition that the old one still
  * stands. So intervals never overlap, and one that has been written changes only at its end, by its own owner.
  */
 class ShardRow
 {
 public:
     /*! @brief Intervals that are kept; keys older than those belong to nobody that could be asked. */
-    static constexpr std::size_t mostIntervals = 16;
+    static constexpr std::size_t maxIntervals = 16;
 
     /*! @brief Builds a row without intervals. */
     ShardRow() = default;
@@ -83,7 +83,7 @@
      * @param until The new end; not before the interval's beginning.
      * @return The new row.
      */
-    [[nodiscard]] ShardRow cut(std::chrono::milliseconds until) const;
+    [[nodiscard]] ShardRow truncate(std::chrono::milliseconds until) const;
 
     /**
      * @brief Gives the last interval.
--- a/src/egretlatch/routing/adaptive_router.cpp
+++ b/src/egretlatch/routing/adaptive_router.cpp
@@ -15,20 +15,20 @@
 // A further server must be expected to answer within this part of the nearer one's time to be worth the way, and the way
 // counts as so much more time, for itself and for each kilobyte that crosses: servers of one service differ in speed, and the
 // only one near may be slow.
-constexpr double worthTheWay = 0.75;
-constexpr std::chrono::milliseconds wayTime{20};
-constexpr std::chrono::duration<double, std::milli> wayTimePerByte{0.001};
+constexpr double maxFarTimeRatio = 0.75;
+constexpr std::chrono::milliseconds farPenalty{20};
+constexpr std::chrono::duration<double, std::milli> farPenaltyPerByte{0.001};
 // Nothing is expected to be faster than this part of the usual time, whatever was told.
-constexpr double fastestShare = 0.2;
+constexpr double minTimeRatio = 0.2;
 // A server that fails one call in four counts as four times as slow: what fails is made again, or fails the whole chain above
 // it.
-constexpr double failingWeight = 12.0;
+constexpr double failurePenalty = 12.0;
 constexpr double outlierShare = 0.5;
-constexpr double outlierOverPeers = 0.3;
+constexpr double outlierMargin = 0.3;
 constexpr int hangFactor = 3;
-constexpr std::chrono::milliseconds shortestHang{50};
+constexpr std::chrono::milliseconds minHangTime{50};
 // A daemon that has just started learns of servers one by one; none of them is cold for that.
-constexpr std::chrono::seconds learningTime{5};
+constexpr std::chrono::seconds startupGrace{5};
 
 } // namespace internal
 
@@ -49,14 +49,14 @@
     }
     std::map<std::string, std::vector<DaemonId>> near;
     std::map<std::string, std::vector<DaemonId>> far;
-    std::map<std::string, std::vector<DaemonId>> leaving;
+    std::map<std::string, std::vector<DaemonId>> draining;
     for (const membership::Member &member : members) {
         if (member.state == membership::MemberState::serving) {
-            takeMember(member, self.dataCentre, now);
+            updateServer(member, self.dataCentre, now);
             (member.dataCentre == self.dataCentre ? near : far)[member.service].push_back(member.id);
         } else if (member.state == membership::MemberState::draining) {
-            takeMember(member, self.dataCentre, now);
-            leaving[member.service].push_back(member.id);
+            updateServer(member, self.dataCentre, now);
+            draining[member.service].push_back(member.id);
         }
     }
     std::erase_if(m_servers, [this](const auto &entry) {
@@ -68,7 +68,7 @@
     });
     for (auto &[name, service] : m_services) {
         service.servers.clear();
-        service.leaving = std::move(leaving[name]);
+        service.draining = std::move(draining[name]);
     }
     // Near and far servers have subsets of their own, so that there is always somewhere to spill to.
     for (auto *const group : {&near, &far}) {
@@ -80,7 +80,7 @@
     }
 }
 
-void AdaptiveRouter::takeMember(const membership::Member &member, const std::string &ownDataCentre, const SteadyTime now)
+void AdaptiveRouter::updateServer(const membership::Member &member, const std::string &ownDataCentre, const SteadyTime now)
 {
     const auto found = m_servers.find(member.id);
     if (found != m_servers.end() && found->second.incarnation == member.incarnation && found->second.service == member.service) {
@@ -91,7 +91,7 @@
     }
     const auto service = m_services.find(member.service);
     const bool hasPeers = service != m_services.end() && !service->second.servers.empty();
-    const bool isCold = hasPeers && now - *m_startedAt > internal::learningTime;
+    const bool isCold = hasPeers && now - *m_startedAt > internal::startupGrace;
     Server server{
         .incarnation = member.incarnation,
         .service = member.service,
@@ -109,16 +109,16 @@
     if (service == m_services.end()) {
         return std::nullopt;
     }
-    const std::vector<DaemonId> candidates = candidatesOf(service->second, request, now);
+    const std::vector<DaemonId> candidates = candidateServers(service->second, request, now);
     std::vector<DaemonId> near;
     std::vector<DaemonId> far;
     for (const DaemonId &id : candidates) {
         (m_servers.at(id).isNear ? near : far).push_back(id);
     }
     std::optional<Choice> chosen = betterOfTwo(service->second, request.kind, near, now);
-    const std::optional<Choice> further = betterOfTwo(service->second, request.kind, far, now);
-    if (!chosen.has_value() || (further.has_value() && isWorthTheWay(service->second, request.kind, *chosen, *further))) {
-        chosen = further;
+    const std::optional<Choice> farChoice = betterOfTwo(service->second, request.kind, far, now);
+    if (!chosen.has_value() || (farChoice.has_value() && isFarPreferable(service->second, request.kind, *chosen, *farChoice))) {
+        chosen = farChoice;
     }
     if (!chosen.has_value()) {
         return std::nullopt;
@@ -127,11 +127,11 @@
     return chosen->id;
 }
 
-std::vector<DaemonId> AdaptiveRouter::candidatesOf(const Service &service, const RouteRequest &request, const SteadyTime now)
+std::vector<DaemonId> AdaptiveRouter::candidateServers(const Service &service, const RouteRequest &request, const SteadyTime now)
 {
     std::vector<DaemonId> healthy;
     std::vector<DaemonId> all;
-    for (const DaemonId &id : remainingOf(service, request)) {
+    for (const DaemonId &id : untriedServers(service, request)) {
         ServerRecord &record = m_servers.at(id).record;
         record.expire(now);
         all.push_back(id);
@@ -142,36 +142,36 @@
     return healthy.empty() ? all : healthy;
 }
 
-std::vector<DaemonId> AdaptiveRouter::remainingOf(const Service &service, const RouteRequest &request)
+std::vector<DaemonId> AdaptiveRouter::untriedServers(const Service &service, const RouteRequest &request)
 {
-    std::vector<DaemonId> remaining;
-    const auto isLeft = [&request](const DaemonId &id) {
+    std::vector<DaemonId> untried;
+    const auto isUntried = [&request](const DaemonId &id) {
         return !request.excluded.contains(id);
     };
-    std::copy_if(service.servers.begin(), service.servers.end(), std::back_inserter(remaining), isLeft);
-    if (remaining.empty()) {
-        // The last servers of a small service may all be leaving, or their daemons ending, one restart after the other. Their
+    std::copy_if(service.servers.begin(), service.servers.end(), std::back_inserter(untried), isUntried);
+    if (untried.empty()) {
+        // The last servers of a small service may all be draining, or their daemons ending, one restart after the other. Their
         // doors stay open for a while; without them each request that leads there fails until one is back.
-        std::copy_if(service.leaving.begin(), service.leaving.end(), std::back_inserter(remaining), isLeft);
+        std::copy_if(service.draining.begin(), service.draining.end(), std::back_inserter(untried), isUntried);
     }
-    return remaining;
+    return untried;
 }
 
-AdaptiveRouter::Milliseconds AdaptiveRouter::expected(const Service &service, const std::string &kind, const DaemonId &id, const SteadyTime now) const
+AdaptiveRouter::Milliseconds AdaptiveRouter::expectedLatency(const Service &service, const std::string &kind, const DaemonId &id, const SteadyTime now) const
 {
-    const Duration usual = std::max(service.usual.latency(kind), service.paces.mean(kind));
-    const Duration shortest = std::chrono::duration_cast<Duration>(usual * internal::fastestShare);
-    const Milliseconds alone = std::max(usual + service.paces.excess(id, kind, now), shortest);
+    const Duration average = std::max(service.averages.latency(kind), service.paces.mean(kind));
+    const Duration minimum = std::chrono::duration_cast<Duration>(average * internal::minTimeRatio);
+    const Milliseconds unloaded = std::max(average + service.paces.excessTime(id, kind, now), minimum);
     // Servers slow down as they fill, and beyond their slots calls wait; the square keeps all calls from one fast server.
     const double load = m_servers.at(id).record.load(now);
     // What fails has to be made again, or fails its caller.
-    return alone * (1.0 + load * load) * (1.0 + internal::failingWeight * service.paces.failing(id, kind, now));
+    return unloaded * (1.0 + load * load) * (1.0 + internal::failurePenalty * service.paces.failureShare(id, kind, now));
 }
 
-bool AdaptiveRouter::isWorthTheWay(const Service &service, const std::string &kind, const Choice &near, const Choice &far)
+bool AdaptiveRouter::isFarPreferable(const Service &service, const std::string &kind, const Choice &near, const Choice &far)
 {
-    const Milliseconds way = internal::wayTime + internal::wayTimePerByte * service.usual.bytes(kind);
-    return far.expected + way < internal::worthTheWay * near.expected;
+    const Milliseconds penalty = internal::farPenalty + internal::farPenaltyPerByte * service.averages.bytes(kind);
+    return far.expectedLatency + penalty < internal::maxFarTimeRatio * near.expectedLatency;
 }
 
 std::optional<AdaptiveRouter::Choice>
@@ -183,9 +183,9 @@
     const std::size_t first = m_random.below(candidates.size());
     const std::size_t step = candidates.size() == 1 ? 0 : 1 + m_random.below(candidates.size() - 1);
     const std::size_t second = (first + step) % candidates.size();
-    const Milliseconds atFirst = expected(service, kind, candidates[first], now);
-    const Milliseconds atSecond = expected(service, kind, candidates[second], now);
-    return atSecond < atFirst ? Choice{.id = candidates[second], .expected = atSecond} : Choice{.id = candidates[first], .expected = atFirst};
+    const Milliseconds atFirst = expectedLatency(service, kind, candidates[first], now);
+    const Milliseconds atSecond = expectedLatency(service, kind, candidates[second], now);
+    return atSecond < atFirst ? Choice{.id = candidates[second], .expectedLatency = atSecond} : Choice{.id = candidates[first], .expectedLatency = atFirst};
 }
 
 void AdaptiveRouter::noteResult(const DaemonId &daemon, const AttemptResult &result, const SteadyTime now)
@@ -196,7 +196,7 @@
     }
     Service &service = m_services[found->second.service];
     if (result.outcome == AttemptOutcome::answered) {
-        service.usual.note(result.kind, result.latency, result.bytes);
+        service.averages.note(result.kind, result.latency, result.bytes);
     }
     found->second.record.end(result, isFailure(service, result), now);
     ejectOutlier(service, daemon, now);
@@ -221,7 +221,7 @@
         return true;
     case AttemptOutcome::abandoned:
         // Callers with short timeouts hide a server that hangs: its attempts end early and it would look idle.
-        return result.latency > std::max<Duration>(internal::hangFactor * service.usual.latency(result.kind), internal::shortestHang);
+        return result.latency > std::max<Duration>(internal::hangFactor * service.averages.latency(result.kind), internal::minHangTime);
     case AttemptOutcome::answered:
     case AttemptOutcome::refused:
         break;
@@ -255,7 +255,7 @@
     // Peers that got nothing lately are not known to fail: a near server that fails fast looks empty, and would keep all
     // requests from far ones that are well.
     const double peerShare = knownPeers == 0 ? 0.0 : peerShares / static_cast<double>(knownPeers);
-    const bool isOutlier = share > peerShare + internal::outlierOverPeers;
+    const bool isOutlier = share > peerShare + internal::outlierMargin;
     if (isOutlier && 2 * (ejected + 1) <= service.servers.size()) {
         record.eject(now);
     }
--- a/src/egretlatch/routing/adaptive_router.hpp
+++ b/src/egretlatch/routing/adaptive_router.hpp
@@ -4,10 +4,10 @@
 #include <map>
 
 #include <egretlatch/core/random_source.hpp>
+#include <egretlatch/routing/kind_averages.hpp>
 #include <egretlatch/routing/router.hpp>
 #include <egretlatch/routing/server_paces.hpp>
 #include <egretlatch/routing/server_record.hpp>
-#include <egretlatch/routing/usual_times.hpp>
 
 namespace egretlatch::routing
 {
@@ -40,7 +40,7 @@
     struct Choice
     {
         DaemonId id;
-        Milliseconds expected{};
+        Milliseconds expectedLatency{};
     };
 
     struct Server
@@ -56,19 +56,19 @@
     {
         std::vector<DaemonId> servers;
         /*! @brief Those that have said that they leave; chosen only where no other is left. */
-        std::vector<DaemonId> leaving;
-        UsualTimes usual;
+        std::vector<DaemonId> draining;
+        KindAverages averages;
         ServerPaces paces;
     };
 
-    [[nodiscard]] static std::vector<DaemonId> remainingOf(const Service &service, const RouteRequest &request);
-    [[nodiscard]] std::vector<DaemonId> candidatesOf(const Service &service, const RouteRequest &request, SteadyTime now);
-    [[nodiscard]] Milliseconds expected(const Service &service, const std::string &kind, const DaemonId &id, SteadyTime now) const;
-    [[nodiscard]] static bool isWorthTheWay(const Service &service, const std::string &kind, const Choice &near, const Choice &far);
+    [[nodiscard]] static std::vector<DaemonId> untriedServers(const Service &service, const RouteRequest &request);
+    [[nodiscard]] std::vector<DaemonId> candidateServers(const Service &service, const RouteRequest &request, SteadyTime now);
+    [[nodiscard]] Milliseconds expectedLatency(const Service &service, const std::string &kind, const DaemonId &id, SteadyTime now) const;
+    [[nodiscard]] static bool isFarPreferable(const Service &service, const std::string &kind, const Choice &near, const Choice &far);
     [[nodiscard]] std::optional<Choice> betterOfTwo(const Service &service, const std::string &kind, const std::vector<DaemonId> &candidates, SteadyTime now);
     [[nodiscard]] bool isFailure(const Service &service, const AttemptResult &result) const;
     void ejectOutlier(const Service &service, const DaemonId &daemon, SteadyTime now);
-    void takeMember(const membership::Member &member, const std::string &ownDataCentre, SteadyTime now);
+    void updateServer(const membership::Member &member, const std::string &ownDataCentre, SteadyTime now);
 
     RandomSource &m_random;
     std::map<DaemonId, Server> m_servers;
--- a/src/egretlatch/routing/fwd.hpp
+++ b/src/egretlatch/routing/fwd.hpp
@@ -14,7 +14,7 @@
 class LeastLoadedRouter;
 class ServerPaces;
 class ServerRecord;
-class UsualTimes;
+class KindAverages;
 
 } // namespace egretlatch::routing
 
--- a/src/egretlatch/routing/usual_times.hpp
+++ b/src/egretlatch/routing/kind_averages.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_ROUTING_USUAL_TIMES_HPP
-#define EGRETLATCH_ROUTING_USUAL_TIMES_HPP
+#ifndef EGRETLATCH_ROUTING_KIND_AVERAGES_HPP
+#define EGRETLATCH_ROUTING_KIND_AVERAGES_HPP
 
 #include <cstddef>
 #include <map>
@@ -11,7 +11,7 @@
 {
 
 /*! @brief What answers of one service take and weigh, by kind, over all of its servers. */
-class UsualTimes
+class KindAverages
 {
 public:
     /**
@@ -37,13 +37,13 @@
     [[nodiscard]] double bytes(const std::string &kind) const;
 
 private:
-    struct Usual
+    struct Average
     {
         Duration latency{};
         double bytes{};
     };
 
-    std::map<std::string, Usual> m_kinds;
+    std::map<std::string, Average> m_kinds;
 };
 
 } // namespace egretlatch::routing
--- a/src/egretlatch/routing/server_paces.cpp
+++ b/src/egretlatch/routing/server_paces.cpp
@@ -10,20 +10,20 @@
 {
 
 // A daemon hears from each other one within this time in fleets of up to twenty.
-constexpr std::chrono::seconds paceMemory{10};
-constexpr std::size_t mostKinds = 64;
+constexpr std::chrono::seconds paceDecayTime{10};
+constexpr std::size_t maxKinds = 64;
 
 } // namespace internal
 
 void ServerPaces::note(const DaemonId &server, const admission::KindPace &pace, const SteadyTime now)
 {
-    if (m_kinds.size() >= internal::mostKinds && !m_kinds.contains(pace.kind)) {
+    if (m_kinds.size() >= internal::maxKinds && !m_kinds.contains(pace.kind)) {
         m_kinds.clear();
     }
     Kind &kind = m_kinds[pace.kind];
     remove(kind, server);
-    kind.servers.emplace(server, Told{.own = pace.own, .failing = pace.failing, .at = now});
-    kind.total += pace.own;
+    kind.servers.emplace(server, Report{.ownTime = pace.own, .failureShare = pace.failing, .receivedAt = now});
+    kind.totalOwnTime += pace.own;
 }
 
 void ServerPaces::forget(const DaemonId &server)
@@ -37,36 +37,36 @@
 {
     const auto found = kind.servers.find(server);
     if (found != kind.servers.end()) {
-        kind.total -= found->second.own;
+        kind.totalOwnTime -= found->second.ownTime;
         kind.servers.erase(found);
     }
 }
 
-Duration ServerPaces::excess(const DaemonId &server, const std::string &kind, const SteadyTime now) const
+Duration ServerPaces::excessTime(const DaemonId &server, const std::string &kind, const SteadyTime now) const
 {
-    const Told *const told = find(server, kind);
-    return told == nullptr ? Duration{} : std::chrono::duration_cast<Duration>((told->own - mean(kind)) * weight(*told, now));
+    const Report *const report = find(server, kind);
+    return report == nullptr ? Duration{} : std::chrono::duration_cast<Duration>((report->ownTime - mean(kind)) * weight(*report, now));
 }
 
-double ServerPaces::failing(const DaemonId &server, const std::string &kind, const SteadyTime now) const
+double ServerPaces::failureShare(const DaemonId &server, const std::string &kind, const SteadyTime now) const
 {
-    const Told *const told = find(server, kind);
-    return told == nullptr ? 0.0 : told->failing * weight(*told, now);
+    const Report *const report = find(server, kind);
+    return report == nullptr ? 0.0 : report->failureShare * weight(*report, now);
 }
 
-const ServerPaces::Told *ServerPaces::find(const DaemonId &server, const std::string &kind) const
+const ServerPaces::Report *ServerPaces::find(const DaemonId &server, const std::string &kind) const
 {
     const auto found = m_kinds.find(kind);
     if (found == m_kinds.end()) {
         return nullptr;
     }
-    const auto told = found->second.servers.find(server);
-    return told == found->second.servers.end() ? nullptr : &told->second;
+    const auto report = found->second.servers.find(server);
+    return report == found->second.servers.end() ? nullptr : &report->second;
 }
 
-double ServerPaces::weight(const Told &told, const SteadyTime now)
+double ServerPaces::weight(const Report &report, const SteadyTime now)
 {
-    return std::exp(-(std::chrono::duration<double>(now - told.at) / std::chrono::duration<double>(internal::paceMemory)));
+    return std::exp(-(std::chrono::duration<double>(now - report.receivedAt) / std::chrono::duration<double>(internal::paceDecayTime)));
 }
 
 Duration ServerPaces::mean(const std::string &kind) const
@@ -75,7 +75,7 @@
     if (found == m_kinds.end() || found->second.servers.empty()) {
         return {};
     }
-    return found->second.total / static_cast<int>(found->second.servers.size());
+    return found->second.totalOwnTime / static_cast<int>(found->second.servers.size());
 }
 
 } // namespace egretlatch::routing
--- a/src/egretlatch/routing/server_paces.hpp
+++ b/src/egretlatch/routing/server_paces.hpp
@@ -12,7 +12,7 @@
 {
 
 /**
- * @brief How fast the servers of one service are, as their daemons told.
+ * @brief How fast the servers of one service are, as their daemons report.
  *
  * At a few calls a second a daemon would take minutes to find out for itself which servers are slow, and would have to try
  * them for it; each server's own daemon sees all of its runs.
@@ -42,7 +42,7 @@
      * @return The difference, below zero for a fast server; it goes to zero while nothing is heard, so that a slow server
      * is tried again.
      */
-    [[nodiscard]] Duration excess(const DaemonId &server, const std::string &kind, SteadyTime now) const;
+    [[nodiscard]] Duration excessTime(const DaemonId &server, const std::string &kind, SteadyTime now) const;
 
     /**
      * @brief Gives how often a server fails.
@@ -51,31 +51,31 @@
      * @param now Current time.
      * @return The part of the runs that it failed by itself, 0 to 1; it goes to zero while nothing is heard.
      */
-    [[nodiscard]] double failing(const DaemonId &server, const std::string &kind, SteadyTime now) const;
+    [[nodiscard]] double failureShare(const DaemonId &server, const std::string &kind, SteadyTime now) const;
 
     /**
      * @brief Gives what the servers take on average.
      * @param kind Kind of the call.
-     * @return The time of a run without what it waits for inner calls; zero if nothing was told.
+     * @return The time of a run without what it waits for inner calls; zero if nothing was reported.
      */
     [[nodiscard]] Duration mean(const std::string &kind) const;
 
 private:
-    struct Told
+    struct Report
     {
-        Duration own{};
-        double failing{};
-        SteadyTime at;
+        Duration ownTime{};
+        double failureShare{};
+        SteadyTime receivedAt;
     };
 
-    [[nodiscard]] const Told *find(const DaemonId &server, const std::string &kind) const;
-    [[nodiscard]] static double weight(const Told &told, SteadyTime now);
+    [[nodiscard]] const Report *find(const DaemonId &server, const std::string &kind) const;
+    [[nodiscard]] static double weight(const Report &report, SteadyTime now);
 
     struct Kind
     {
-        std::map<DaemonId, Told> servers;
+        std::map<DaemonId, Report> servers;
         /*! @brief Sum of the servers' own times: the mean is asked for with each server that is weighed for a call. */
-        Duration total{};
+        Duration totalOwnTime{};
     };
 
     static void remove(Kind &kind, const DaemonId &server);
--- a/src/egretlatch/routing/server_record.cpp
+++ b/src/egretlatch/routing/server_record.cpp
@@ -9,18 +9,18 @@
 namespace internal
 {
 
-constexpr std::chrono::milliseconds reportLife{200};
-constexpr std::chrono::milliseconds refusalLife{100};
+constexpr std::chrono::milliseconds reportLifetime{200};
+constexpr std::chrono::milliseconds refusalLifetime{100};
 constexpr std::chrono::seconds healthWindow{2};
 constexpr std::chrono::seconds rampTime{3};
 constexpr std::chrono::seconds firstEjection{1};
-constexpr std::chrono::seconds ejectionMemory{10};
+constexpr std::chrono::seconds ejectionHistory{10};
 constexpr std::chrono::seconds expiryGrace{1};
-constexpr int mostDoublings = 3;
-constexpr double fewestAttempts = 4.0;
+constexpr int maxDoublings = 3;
+constexpr double minAttempts = 4.0;
 // A server that has been taken out lately is not owed four more calls.
-constexpr double fewestAttemptsOnTrial = 0.9;
-constexpr double firstTrust = 0.1;
+constexpr double minAttemptsOnProbation = 0.9;
+constexpr double minCapacityShare = 0.1;
 constexpr double loadAfterRefusal = 1.5;
 
 [[nodiscard]] static double ratio(const Duration part, const Duration whole)
@@ -33,7 +33,7 @@
 ServerRecord::ServerRecord(const int slots, const SteadyTime since, const bool isCold)
     : m_slots{slots}
     , m_rampBegin{since}
-    , m_isRamped{isCold}
+    , m_hasRamp{isCold}
     , m_decayedAt{since}
 {
 }
@@ -68,17 +68,17 @@
 
 void ServerRecord::decay(const SteadyTime now)
 {
-    const double kept = std::exp(-internal::ratio(now - m_decayedAt, internal::healthWindow));
-    m_attempts *= kept;
-    m_failures *= kept;
+    const double retained = std::exp(-internal::ratio(now - m_decayedAt, internal::healthWindow));
+    m_attempts *= retained;
+    m_failures *= retained;
     m_decayedAt = now;
 }
 
 std::optional<double> ServerRecord::failureShare(const SteadyTime now) const
 {
-    const double kept = std::exp(-internal::ratio(now - m_decayedAt, internal::healthWindow));
-    const bool isOnTrial = m_ejections > 0 && now - m_ejectedUntil < internal::ejectionMemory;
-    if (m_attempts * kept < (isOnTrial ? internal::fewestAttemptsOnTrial : internal::fewestAttempts)) {
+    const double retained = std::exp(-internal::ratio(now - m_decayedAt, internal::healthWindow));
+    const bool isOnProbation = m_ejections > 0 && now - m_ejectedUntil < internal::ejectionHistory;
+    if (m_attempts * retained < (isOnProbation ? internal::minAttemptsOnProbation : internal::minAttempts)) {
         return std::nullopt;
     }
     return m_failures / m_attempts;
@@ -86,41 +86,41 @@
 
 void ServerRecord::eject(const SteadyTime now)
 {
-    if (now - m_ejectedUntil > internal::ejectionMemory) {
+    if (now - m_ejectedUntil > internal::ejectionHistory) {
         m_ejections = 0;
     }
-    const Duration span = internal::firstEjection * (1 << std::min(m_ejections, internal::mostDoublings));
+    const Duration duration = internal::firstEjection * (1 << std::min(m_ejections, internal::maxDoublings));
     ++m_ejections;
-    m_ejectedUntil = now + span;
+    m_ejectedUntil = now + duration;
     m_rampBegin = m_ejectedUntil;
-    m_isRamped = true;
+    m_hasRamp = true;
     m_attempts = 0.0;
     m_failures = 0.0;
 }
 
-double ServerRecord::trust(const SteadyTime now) const
+double ServerRecord::capacityShare(const SteadyTime now) const
 {
-    if (!m_isRamped) {
+    if (!m_hasRamp) {
         return 1.0;
     }
-    return std::clamp(internal::ratio(now - m_rampBegin, internal::rampTime), internal::firstTrust, 1.0);
+    return std::clamp(internal::ratio(now - m_rampBegin, internal::rampTime), internal::minCapacityShare, 1.0);
 }
 
 double ServerRecord::freshness(const SteadyTime now) const
 {
-    return std::clamp(1.0 - internal::ratio(now - m_reportedAt, internal::reportLife), 0.0, 1.0);
+    return std::clamp(1.0 - internal::ratio(now - m_reportedAt, internal::reportLifetime), 0.0, 1.0);
 }
 
 double ServerRecord::load(const SteadyTime now) const
 {
     const double fresh = freshness(now);
-    const double told = fresh * (m_report.inFlight + m_report.queued);
+    const double reported = fresh * (m_report.inFlight + m_report.queued);
     const double limit = m_report.limit > 0 && fresh > 0.0 ? m_report.limit : m_slots;
-    const double capacity = std::max(limit, 1.0) * trust(now);
-    const double known = (std::max(told, static_cast<double>(inFlight())) + 1.0) / capacity;
+    const double capacity = std::max(limit, 1.0) * capacityShare(now);
+    const double estimate = (std::max(reported, static_cast<double>(inFlight())) + 1.0) / capacity;
     // A server that refuses has few requests in flight and would look idle.
-    const bool hasRefused = now - m_refusedAt < internal::refusalLife;
-    return hasRefused ? std::max(known, internal::loadAfterRefusal) : known;
+    const bool hasRefused = now - m_refusedAt < internal::refusalLifetime;
+    return hasRefused ? std::max(estimate, internal::loadAfterRefusal) : estimate;
 }
 
 } // namespace egretlatch::routing
--- a/src/egretlatch/routing/server_record.hpp
+++ b/src/egretlatch/routing/server_record.hpp
@@ -69,7 +69,7 @@
      * @param now Current time.
      * @return Above 0, up to 1; small after a cold start or an ejection.
      */
-    [[nodiscard]] double trust(SteadyTime now) const;
+    [[nodiscard]] double capacityShare(SteadyTime now) const;
 
     /**
      * @brief Gives how full the server is thought to be, for comparison.
@@ -102,7 +102,7 @@
     SteadyTime m_reportedAt;
     SteadyTime m_refusedAt;
     SteadyTime m_rampBegin;
-    bool m_isRamped;
+    bool m_hasRamp;
     SteadyTime m_ejectedUntil;
     int m_ejections{};
     /*! @brief Recent attempts and failures, decaying. */
--- a/src/egretlatch/routing/weighted_targets.cpp
+++ b/src/egretlatch/routing/weighted_targets.cpp
@@ -9,7 +9,7 @@
 {
 
 // Weights are hundredths in practice; larger ones need no exact place.
-constexpr std::uint64_t longestRound = 10'000;
+constexpr std::uint64_t maxInitialSteps = 10'000;
 
 } // namespace internal
 
@@ -23,38 +23,38 @@
     if (route.targets.size() == 1) {
         return route.targets.front().service;
     }
-    auto found = m_standings.find(route.name);
-    if (found == m_standings.end() || found->second.targets != route.targets) {
-        found = m_standings.insert_or_assign(route.name, begin(route)).first;
+    auto found = m_rotations.find(route.name);
+    if (found == m_rotations.end() || found->second.targets != route.targets) {
+        found = m_rotations.insert_or_assign(route.name, startRotation(route)).first;
     }
-    return route.targets[next(found->second)].service;
+    return route.targets[advance(found->second)].service;
 }
 
-WeightedTargets::Standing WeightedTargets::begin(const manifest::RouteSpec &route)
+WeightedTargets::Rotation WeightedTargets::startRotation(const manifest::RouteSpec &route)
 {
-    Standing standing{.targets = route.targets, .owed = std::vector<double>(route.targets.size())};
-    std::uint64_t round = 0;
+    Rotation rotation{.targets = route.targets, .credits = std::vector<double>(route.targets.size())};
+    std::uint64_t totalWeight = 0;
     for (const manifest::RouteTarget &target : route.targets) {
-        round += static_cast<std::uint64_t>(target.weight);
+        totalWeight += static_cast<std::uint64_t>(target.weight);
     }
-    // A whole round brings the standing back to where it began, so any place within one is as good as any other.
-    const std::uint64_t steps = m_random.below(std::min(round, internal::longestRound));
+    // A whole round brings the rotation back to where it began, so any place within one is as good as any other.
+    const std::uint64_t steps = m_random.below(std::min(totalWeight, internal::maxInitialSteps));
     for (std::uint64_t step = 0; step < steps; ++step) {
-        static_cast<void>(next(standing));
+        static_cast<void>(advance(rotation));
     }
-    return standing;
+    return rotation;
 }
 
-std::size_t WeightedTargets::next(Standing &standing)
+std::size_t WeightedTargets::advance(Rotation &rotation)
 {
-    double sum = 0.0;
-    for (std::size_t place = 0; place < standing.targets.size(); ++place) {
-        standing.owed[place] += standing.targets[place].weight;
-        sum += standing.targets[place].weight;
+    double totalWeight = 0.0;
+    for (std::size_t index = 0; index < rotation.targets.size(); ++index) {
+        rotation.credits[index] += rotation.targets[index].weight;
+        totalWeight += rotation.targets[index].weight;
     }
-    const auto most = std::max_element(standing.owed.begin(), standing.owed.end());
-    *most -= sum;
-    return static_cast<std::size_t>(most - standing.owed.begin());
+    const auto highest = std::max_element(rotation.credits.begin(), rotation.credits.end());
+    *highest -= totalWeight;
+    return static_cast<std::size_t>(highest - rotation.credits.begin());
 }
 
 } // namespace egretlatch::routing
--- a/src/egretlatch/routing/weighted_targets.hpp
+++ b/src/egretlatch/routing/weighted_targets.hpp
@@ -36,18 +36,18 @@
     [[nodiscard]] const std::string &choose(const manifest::RouteSpec &route);
 
 private:
-    struct Standing
+    struct Rotation
     {
         std::vector<manifest::RouteTarget> targets;
         /*! @brief What each target is owed, in parts of the sum of the weights. */
-        std::vector<double> owed;
+        std::vector<double> credits;
     };
 
-    [[nodiscard]] static std::size_t next(Standing &standing);
-    [[nodiscard]] Standing begin(const manifest::RouteSpec &route);
+    [[nodiscard]] static std::size_t advance(Rotation &rotation);
+    [[nodiscard]] Rotation startRotation(const manifest::RouteSpec &route);
 
     RandomSource &m_random;
-    std::map<std::string, Standing> m_standings;
+    std::map<std::string, Rotation> m_rotations;
 };
 
 } // namespace egretlatch::routing
--- a/test/egretlatch/retry/shard_grants.cpp
+++ b/test/egretlatch/retry/shard_grants.cpp
@@ -27,7 +27,7 @@
 
     void start(const int number)
     {
-        const KeyOwner self{.daemon = {fmt::format("d{}", number)}, .incarnation = {++lives}};
+        const KeyOwner self{.daemon = {fmt::format("d{}", number)}, .incarnation = {++lastIncarnation}};
         owners[number] = self;
         daemons[number] = std::make_unique<ShardGrants>(self, random);
     }
@@ -45,19 +45,19 @@
     void step(const int number, ShardGrants &grants)
     {
         const auto isPreferred = [this, number](const int shard) {
-            const std::size_t place = static_cast<std::size_t>(shard) % daemons.size();
-            return std::next(daemons.begin(), static_cast<std::ptrdiff_t>(place))->first == number;
+            const std::size_t index = static_cast<std::size_t>(shard) % daemons.size();
+            return std::next(daemons.begin(), static_cast<std::ptrdiff_t>(index))->first == number;
         };
         for (const store::Request &request : grants.tick(clock.wallNow(), clock.steadyNow(), isPreferred)) {
-            const store::RequestId id{++asked};
-            grants.noteAsked(id, request);
+            const store::RequestId id{++lastRequestId};
+            grants.noteRequestSent(id, request);
             const store::Outcome down = tl::unexpected{Error{ErrorCode::unavailable, "down"}};
             static_cast<void>(grants.take(id, isDown ? down : table.ask(request), clock.steadyNow()));
         }
     }
 
     // Share of keys minted now that find a living owner that may run them.
-    [[nodiscard]] double shareServed()
+    [[nodiscard]] double servedShare()
     {
         constexpr int keys = 2000;
         UuidMint mint{random};
@@ -77,8 +77,8 @@
     fakes::Table table;
     std::map<int, std::unique_ptr<ShardGrants>> daemons;
     std::map<int, KeyOwner> owners;
-    std::uint64_t lives{};
-    std::uint64_t asked{};
+    std::uint64_t lastIncarnation{};
+    std::uint64_t lastRequestId{};
     bool isDown{};
 };
 
@@ -94,7 +94,7 @@
     double least = 1;
     for (int minute = 0; minute < 5; ++minute) {
         fleet.run(1min);
-        least = std::min(least, fleet.shareServed());
+        least = std::min(least, fleet.servedShare());
     }
 
     fmt::print("grants: share of keys served in an outage of five minutes: {:.3f}\n", least);
@@ -108,13 +108,13 @@
     fleet.run(2min);
     fleet.daemons.erase(3);
     fleet.run(1min);
-    const double after = fleet.shareServed();
+    const double after = fleet.servedShare();
     fleet.run(10min);
 
     fmt::print("grants: share of keys served a minute after one daemon of 16 is lost: {:.3f}\n", after);
     CHECK(after > 0.9);
     CHECK(after < 1);
-    CHECK(fleet.shareServed() == doctest::Approx(1.0));
+    CHECK(fleet.servedShare() == doctest::Approx(1.0));
 }
 
 TEST_CASE("a daemon that leaves hands its grants on within seconds")
@@ -126,7 +126,7 @@
     fleet.daemons.erase(3);
     fleet.run(1min);
 
-    CHECK(fleet.shareServed() == doctest::Approx(1.0));
+    CHECK(fleet.servedShare() == doctest::Approx(1.0));
 }
 
 TEST_CASE("writes to the table do not grow with the fleet")
@@ -146,7 +146,7 @@
 {
     const KeyOwner first{.daemon = {"a"}, .incarnation = {1}};
     const KeyOwner second{.daemon = {"b"}, .incarnation = {2}};
-    const ShardRow row = ShardRow{}.extend(first, 100ms).cut(80ms).extend(second, 90ms).extend(second, 200ms);
+    const ShardRow row = ShardRow{}.extend(first, 100ms).truncate(80ms).extend(second, 90ms).extend(second, 200ms);
 
     CHECK(row.find(79ms)->owner == first);
     CHECK(row.find(80ms)->owner == second);
--- a/test/egretlatch/routing/adaptive_router.cpp
+++ b/test/egretlatch/routing/adaptive_router.cpp
@@ -46,7 +46,7 @@
 
     // Makes calls one at a time; `resultOf` says how each ends.
     template<typename ResultOf>
-    [[nodiscard]] std::map<std::string, int> callOften(const int calls, SteadyTime &now, ResultOf resultOf)
+    [[nodiscard]] std::map<std::string, int> makeCalls(const int calls, SteadyTime &now, ResultOf resultOf)
     {
         std::map<std::string, int> chosen;
         for (int call = 0; call < calls; ++call) {
@@ -80,10 +80,10 @@
     const auto answered = [](const DaemonId & /*id*/) {
         return AttemptResult{.outcome = AttemptOutcome::answered, .kind = "read", .latency = 5ms, .load = {}};
     };
-    CHECK(fleet.callOften(20, now, answered) == std::map<std::string, int>{{"two", 20}});
+    CHECK(fleet.makeCalls(20, now, answered) == std::map<std::string, int>{{"two", 20}});
     fleet.members[2].state = membership::MemberState::draining;
     fleet.router.setMembers(fleet.members, now);
-    CHECK(fleet.callOften(20, now, answered).size() == 2);
+    CHECK(fleet.makeCalls(20, now, answered).size() == 2);
     fleet.members[1].state = membership::MemberState::gone;
     fleet.members[2].state = membership::MemberState::gone;
     fleet.router.setMembers(fleet.members, now);
@@ -122,10 +122,10 @@
     };
     SteadyTime now = start;
 
-    std::map<std::string, int> whileBroken = fleet.callOften(1000, now, result);
+    std::map<std::string, int> whileBroken = fleet.makeCalls(1000, now, result);
     isBroken = false;
     now += 10s;
-    std::map<std::string, int> afterwards = fleet.callOften(1000, now, result);
+    std::map<std::string, int> afterwards = fleet.makeCalls(1000, now, result);
 
     CHECK(whileBroken["bad"] < 50);
     CHECK(afterwards["bad"] > 200);
@@ -138,7 +138,7 @@
         fleet.add(id, "dc1");
     }
     SteadyTime now = start;
-    std::map<std::string, int> chosen = fleet.callOften(1000, now, [](const DaemonId &id) -> AttemptResult {
+    std::map<std::string, int> chosen = fleet.makeCalls(1000, now, [](const DaemonId &id) -> AttemptResult {
         if (id.value == "bad") {
             return {.outcome = AttemptOutcome::abandoned, .kind = "read", .latency = 300ms, .bytes = 0, .load = std::nullopt};
         }
@@ -157,7 +157,7 @@
         fleet.add(id, "dc1");
     }
     SteadyTime now = start;
-    std::map<std::string, int> chosen = fleet.callOften(2000, now, [](const DaemonId &) -> AttemptResult {
+    std::map<std::string, int> chosen = fleet.makeCalls(2000, now, [](const DaemonId &) -> AttemptResult {
         return {.outcome = AttemptOutcome::failed, .kind = "read", .latency = 1ms, .bytes = 0, .load = std::nullopt};
     });
 
@@ -175,9 +175,9 @@
     SteadyTime now = start + 10s;
     fleet.add("new", "dc1", now);
 
-    std::map<std::string, int> first = fleet.callOften(100, now, answered);
+    std::map<std::string, int> first = fleet.makeCalls(100, now, answered);
     now += 5s;
-    std::map<std::string, int> later = fleet.callOften(300, now, answered);
+    std::map<std::string, int> later = fleet.makeCalls(300, now, answered);
 
     CHECK(first["new"] == 0);
     CHECK(later["new"] > 50);
@@ -234,7 +234,7 @@
     fleet.add("far-1", "dc2");
     fleet.add("far-2", "dc3");
     SteadyTime now = start;
-    const auto tell = [&fleet, &now](const Duration near) {
+    const auto reportPaces = [&fleet, &now](const Duration near) {
         fleet.router.notePaces({"near"}, {{.kind = "read", .own = near, .failing = 0.0}}, now);
         fleet.router.notePaces({"far-1"}, {{.kind = "read", .own = 200ms, .failing = 0.0}}, now);
         fleet.router.notePaces({"far-2"}, {{.kind = "read", .own = 200ms, .failing = 0.0}}, now);
@@ -242,15 +242,15 @@
     const auto result = [](const DaemonId &id) -> AttemptResult {
         return {.outcome = AttemptOutcome::answered, .kind = "read", .latency = id.value == "near" ? 500ms : 200ms, .bytes = 5000, .load = std::nullopt};
     };
-    tell(500ms);
-    std::map<std::string, int> whileSlow = fleet.callOften(100, now, result);
+    reportPaces(500ms);
+    std::map<std::string, int> whileSlow = fleet.makeCalls(100, now, result);
     now += 60s;
-    std::map<std::string, int> unheard = fleet.callOften(100, now, result);
-    tell(200ms);
-    std::map<std::string, int> afterwards = fleet.callOften(100, now, answered);
+    std::map<std::string, int> afterSilence = fleet.makeCalls(100, now, result);
+    reportPaces(200ms);
+    std::map<std::string, int> afterwards = fleet.makeCalls(100, now, answered);
 
     CHECK(whileSlow["near"] == 0);
-    CHECK(unheard["near"] > 0);
+    CHECK(afterSilence["near"] > 0);
     CHECK(afterwards["near"] == 100);
 }
 
@@ -268,7 +268,7 @@
         return answered(id);
     };
 
-    std::map<std::string, int> chosen = fleet.callOften(300, now, result);
+    std::map<std::string, int> chosen = fleet.makeCalls(300, now, result);
 
     CHECK(chosen["bad"] < 20);
 }
@@ -285,27 +285,27 @@
     const auto result = [](const DaemonId &) -> AttemptResult {
         return {.outcome = AttemptOutcome::answered, .kind = "read", .latency = 300ms, .bytes = 1'000'000, .load = std::nullopt};
     };
-    static_cast<void>(fleet.callOften(10, now, result));
+    static_cast<void>(fleet.makeCalls(10, now, result));
 
-    std::map<std::string, int> chosen = fleet.callOften(100, now, result);
+    std::map<std::string, int> chosen = fleet.makeCalls(100, now, result);
 
     CHECK(chosen["near"] == 100);
 }
 
 TEST_CASE("the usual time of a kind follows its answers, and one of many times the usual moves it little")
 {
-    UsualTimes usual;
+    KindAverages averages;
     for (int call = 0; call < 100; ++call) {
-        usual.note("long", 800ms, 10);
-        usual.note("short", 30ms, 10);
+        averages.note("long", 800ms, 10);
+        averages.note("short", 30ms, 10);
     }
-    CHECK(usual.latency("long") == 800ms);
-    CHECK(usual.latency("short") == 30ms);
-    CHECK(usual.latency("unseen") == 100ms);
+    CHECK(averages.latency("long") == 800ms);
+    CHECK(averages.latency("short") == 30ms);
+    CHECK(averages.latency("unseen") == 100ms);
 
-    usual.note("short", 30s, 10);
+    averages.note("short", 30s, 10);
 
-    CHECK(usual.latency("short") < 33ms);
+    CHECK(averages.latency("short") < 33ms);
 }
 
 TEST_CASE("what is told of a server loses its weight with time, and its place taken by another it is forgotten")
@@ -315,10 +315,10 @@
     paces.note({"fast"}, {.kind = "read", .own = 100ms, .failing = 0.0}, start);
 
     CHECK(paces.mean("read") == 200ms);
-    CHECK(paces.excess({"slow"}, "read", start) == 100ms);
-    CHECK(paces.excess({"fast"}, "read", start) == -100ms);
-    CHECK(paces.excess({"slow"}, "read", start + 30s) < 10ms);
-    CHECK(paces.excess({"unknown"}, "read", start) == 0ms);
+    CHECK(paces.excessTime({"slow"}, "read", start) == 100ms);
+    CHECK(paces.excessTime({"fast"}, "read", start) == -100ms);
+    CHECK(paces.excessTime({"slow"}, "read", start + 30s) < 10ms);
+    CHECK(paces.excessTime({"unknown"}, "read", start) == 0ms);
     paces.forget({"slow"});
-    CHECK(paces.excess({"slow"}, "read", start) == 0ms);
+    CHECK(paces.excessTime({"slow"}, "read", start) == 0ms);
 }
