--- a/src/egretlatch/retry/backoff.hpp
+++ b/src/egretlatch/retry/backoff.hpp
@@ -13,10 +13,10 @@
 constexpr int backoffDoublings = 6;
 
 /**
- * @brief Draws the wait before a retry: full jitter under a bound that doubles with each retry.
- * @param retriesSoFar Retries that the call has made.
+ * @brief Draws a random delay before a retry: exponential backoff with full jitter.
+ * @param retriesSoFar Retries that the call has already made.
  * @param random Source of the jitter.
- * @return A time below 4 ms for the first retry and below 256 ms for any.
+ * @return A delay below 4 ms for the first retry; the bound doubles with each retry up to 256 ms.
  */
 [[nodiscard]] inline Duration backoff(const int retriesSoFar, RandomSource &random)
 {
--- a/src/egretlatch/retry/key_ledger.cpp
+++ b/src/egretlatch/retry/key_ledger.cpp
@@ -97,8 +97,8 @@
         if (entry->second.state == KeyState::answered) {
             m_answerBytes -= internal::sizeOf(entry->second.answer);
         }
-        // The key would look fresh to its next resend and run a second time. All keys of its age and older are closed
-        // with it: ages are told by the keys themselves, so this holds for those never seen, too.
+        // A forgotten key would look fresh to its next resend and run a second time, so all keys of its age or older count as
+        // forgotten from now on. The age is part of the key, so this also covers keys that were never seen.
         m_forgottenThrough = std::max(m_forgottenThrough, oldest->first);
         m_entries.erase(entry);
         m_ended.erase(oldest);
--- a/src/egretlatch/retry/key_ledger.hpp
+++ b/src/egretlatch/retry/key_ledger.hpp
@@ -17,37 +17,37 @@
 namespace egretlatch::retry
 {
 
-/*! @brief What a daemon does with a key of a caller that names no owner. */
+/*! @brief Policies for a caller's key that names no owner. */
 enum class UnownedKeys {
-    /*! @brief It is not run: without an owner, two daemons could run it. */
+    /*! @brief The request is refused: without an owner, two daemons could run it. */
     refuse,
-    /*! @brief The entry that the key comes to owns it. Safe only where all resends come to that entry, and it does not restart. */
+    /*! @brief The entry daemon that receives the key owns it. Safe only if all resends go there and it doesn't restart. */
     entryMemory,
-    /*! @brief Callers name each attempt anew, so none repeats another: an attempt runs at most once, and no key is asked for. */
+    /*! @brief Callers give each attempt a new name, so no attempt repeats another: it runs at most once without a key. */
     notNeeded,
 };
 
-/*! @brief What the owner knows of a key. */
+/*! @brief States of a key, as known to its owner. */
 enum class KeyState {
-    /*! @brief Never begun, and may be. */
+    /*! @brief Not started yet; may run. */
     fresh,
-    /*! @brief Being run. */
+    /*! @brief Running. */
     running,
-    /*! @brief Completed, and the answer is held. */
+    /*! @brief Completed; the answer is stored. */
     answered,
-    /*! @brief Completed; the answer has been dropped for want of memory. */
+    /*! @brief Completed; the answer was dropped to free memory. */
     answerDropped,
-    /*! @brief Refused as not run, and closed: it never runs. */
+    /*! @brief Refused as not run; the key is closed and never runs. */
     closed,
-    /*! @brief Ended without proof either way; it is not run again. */
+    /*! @brief Ended without proof of whether it ran; it is not run again. */
     uncertain,
-    /*! @brief Older than what is remembered; it may be any of the others. */
+    /*! @brief Older than the oldest remembered key; its state is unknown. */
     forgotten,
-    /*! @brief Known with another request under the same key. */
+    /*! @brief The key was used with a different request. */
     mismatched,
 };
 
-/*! @brief The answer of a backend server, as held for resends. */
+/*! @brief Answer of a backend server, stored for resends. */
 struct HeldAnswer
 {
     int status{};
@@ -57,19 +57,19 @@
     friend bool operator==(const HeldAnswer &, const HeldAnswer &) = default;
 };
 
-/*! @brief What the ledger finds under a key. */
+/*! @brief Result of looking up a key. */
 struct KeyLookup
 {
     KeyState state{};
-    /*! @brief Set where the answer is held; valid until the next change of the ledger. */
+    /*! @brief The stored answer, or null; valid until the ledger changes. */
     const HeldAnswer *answer{};
-    /*! @brief Attempts that the last run of the key left over. */
+    /*! @brief Attempts left after the last run of the key. */
     int attemptsLeft{};
-    /*! @brief Verdict told of a key whose standing is `mismatched`. */
+    /*! @brief Verdict to report for a key whose state is `mismatched`. */
     Verdict verdict{Verdict::mayHaveRun};
 };
 
-/*! @brief Bounds of a ledger. */
+/*! @brief Limits of a ledger. */
 struct KeyLedgerLimits
 {
     std::size_t entries{50'000};
@@ -79,10 +79,10 @@
 };
 
 /**
- * @brief What became of each request key that this life of the daemon owns.
+ * @brief Tracks the state of each request key that this incarnation of the daemon owns.
  *
- * Bounded: the oldest keys are forgotten first, and with them all keys of their age or older that were never seen, so a
- * forgotten key is never taken for a fresh one.
+ * The size is bounded: the oldest keys are forgotten first, together with all keys of their age or older that were never
+ * seen, so that a forgotten key is never mistaken for a fresh one.
  */
 class KeyLedger
 {
@@ -90,39 +90,39 @@
     using Age = std::chrono::milliseconds;
 
     /**
-     * @brief Builds an empty ledger.
-     * @param limits How much it holds.
+     * @brief Creates an empty ledger.
+     * @param limits Maximum number of keys and maximum total size of stored answers.
      */
     explicit KeyLedger(KeyLedgerLimits limits = {});
 
     /**
-     * @brief Looks a key up.
+     * @brief Looks up a key.
      * @param key The key.
      * @param age Age of the owner when the key was minted.
-     * @param request Hash of the request that comes with it.
-     * @return What is known.
+     * @param request Hash of the request that was sent with the key.
+     * @return State of the key, with the stored answer and the attempts left.
      */
     [[nodiscard]] KeyLookup find(const std::string &key, Age age, std::uint64_t request) const;
 
     /**
-     * @brief Enters a fresh key as running; called before its first attempt leaves the daemon.
+     * @brief Adds a fresh key as running; must be called before its first attempt is sent.
      * @param key The key.
      * @param age Age of the owner when the key was minted.
-     * @param request Hash of the request that comes with it.
+     * @param request Hash of the request that was sent with the key.
      */
     void begin(const std::string &key, Age age, std::uint64_t request);
 
     /**
-     * @brief Ends a running key.
+     * @brief Records the end of a running key.
      * @param key The key.
-     * @param verdict What became of it.
-     * @param answer The answer; kept where the verdict is `completed`.
-     * @param attemptsLeft Attempts left over, for a resend after `not-run`.
+     * @param verdict Verdict on the run.
+     * @param answer The answer; stored if the verdict is `completed`.
+     * @param attemptsLeft Attempts left for a resend after `not-run`.
      */
     void end(const std::string &key, Verdict verdict, HeldAnswer answer, int attemptsLeft);
 
     /**
-     * @brief Forgets that a key was refused as not run, so that it may run after all.
+     * @brief Removes a key that was refused as not run, so that it may run again.
      * @param key The key.
      */
     void reopen(const std::string &key);
@@ -147,7 +147,7 @@
 
     KeyLedgerLimits m_limits;
     std::unordered_map<std::string, Entry> m_entries;
-    /*! @brief Keys that have ended, by age: the order in which they are forgotten. */
+    /*! @brief Keys that have ended, by age; forgotten in this order. */
     std::set<std::pair<Age, std::string>> m_ended;
     std::deque<std::string> m_answered;
     std::size_t m_answerBytes{};
--- a/src/egretlatch/retry/preferred_shards.hpp
+++ b/src/egretlatch/retry/preferred_shards.hpp
@@ -12,24 +12,25 @@
 {
 
 /**
- * @brief Shards of the key space that this daemon should hold, by the members that it knows.
+ * @brief Computes the shards of the key space that this daemon should own, by rendezvous hashing over the known members.
  *
- * A shard goes to the highest hash among the daemons at work. Views may differ; the table then lets one of them write.
- * The hashes are computed anew only when the roster has changed, since there are shards times members of them.
+ * A shard belongs to the serving daemon with the highest hash. Daemons may disagree while their views of the members differ;
+ * the conditional write to the table then lets only one of them succeed. The hashes are recomputed only when the roster
+ * changes, since there is one for each pair of shard and member.
  */
 class PreferredShards
 {
 public:
     /**
-     * @brief Looks at the members.
-     * @param roster The members that are known now.
+     * @brief Recomputes the shards if the roster has changed.
+     * @param roster The known members.
      */
     void update(const membership::Roster &roster);
 
     /**
-     * @brief Tells whether this daemon should hold a shard.
-     * @param shard A number in [0, shardCount).
-     * @return True as of the last update.
+     * @brief Checks if this daemon should own a shard.
+     * @param shard Number of the shard, in [0, shardCount).
+     * @return True if it should, as of the last update.
      */
     [[nodiscard]] bool contains(const int shard) const
     {
--- a/src/egretlatch/retry/ratio_budget.hpp
+++ b/src/egretlatch/retry/ratio_budget.hpp
@@ -8,57 +8,59 @@
 {
 
 /**
- * @brief Bounds the retries towards a service by a ratio of the first attempts.
+ * @brief Limits the retries to a service to a fraction of its first attempts.
  *
- * The budget of a root bounds what one request costs; when a whole service fails, each root would still spend all of it
- * and the load would multiply. Here retries stay a small share, whatever the number of roots.
+ * The attempt budget of a root request limits the cost of a single request. When a whole service fails, each root would
+ * still spend its entire budget and multiply the load. This budget keeps retries a small share of the load, however many
+ * roots there are.
  */
 class RatioBudget
 {
 public:
-    /*! @brief Retries that may be saved up, so that a service with few calls can retry at all. */
+    /*! @brief Default of the retries that may be saved up; allows retries to a rarely called service. */
     static constexpr double defaultMaxSaved = 10.0;
-    /*! @brief Retries that a service may owe; what a second of a busy daemon can charge, so no debt outlasts its cause. */
+    /*! @brief Largest debt in retries: what a busy daemon can charge in a second, so that no debt outlasts its cause. */
     static constexpr double maxDebt = 100.0;
 
     /**
-     * @brief Sets how many retries may be saved up for a service; by default defaultMaxSaved.
-     * @param maxSaved Their number.
+     * @brief Sets the number of retries that may be saved up for a service.
+     * @param maxSaved Maximum number of retries; initially defaultMaxSaved.
      */
     void setMaxSaved(double maxSaved);
 
     /**
-     * @brief Notes a first attempt.
+     * @brief Records a first attempt.
      * @param service Name of the service.
-     * @param ratio Retries that one first attempt pays for.
+     * @param ratio Retries that one first attempt earns.
      */
     void noteFirstAttempt(const std::string &service, double ratio);
 
     /**
-     * @brief Pays for a retry.
+     * @brief Takes a retry from the budget.
      * @param service Name of the service.
-     * @return True if the retry may be made.
+     * @return True if the retry is allowed.
      */
     [[nodiscard]] bool take(const std::string &service);
 
     /**
-     * @brief Counts a repeat that is made whatever the bound says: a call of a run that is itself a repeat.
+     * @brief Charges a repeated call that is made regardless of the budget, because the run that makes it is itself a repeat.
      *
-     * Each service of a chain that loses answers would otherwise spend the whole bound at the one below it, and the
-     * deepest would get as many times the bound as there are services above. Retries towards it stop until it is paid.
+     * Without this, each service of a call chain that loses answers would spend its whole budget at the next service, and the
+     * deepest would get as many times the budget as there are services above it. Retries to the service stop until the debt is
+     * paid.
      * @param service Name of the service.
      */
     void charge(const std::string &service);
 
     /**
-     * @brief Gives what may be spent now, for services that retries were made towards.
-     * @return Retries left, by service.
+     * @brief Returns the remaining budgets of all services that calls were retried to.
+     * @return Retries left, by service; negative for a debt.
      */
     [[nodiscard]] std::map<std::string, double> left() const;
 
 private:
     double m_maxSaved{defaultMaxSaved};
-    /*! @brief Retries spent and not yet earned back, by service; so a bound that is raised counts at once. */
+    /*! @brief Retries spent and not yet earned back, by service. Storing these makes a raised limit effective at once. */
     std::map<std::string, double> m_spent;
 };
 
--- a/src/egretlatch/retry/replay_window.hpp
+++ b/src/egretlatch/retry/replay_window.hpp
@@ -10,24 +10,24 @@
 {
 
 /**
- * @brief Lets each call of each daemon pass once.
+ * @brief Accepts each call of each daemon once.
  *
- * Guards against a message that the transport delivers twice, the copy perhaps long after the first has ended: it would
- * run a request again, or run one that was refused as not run. Call ids of one life only grow, so the window need only
- * hold the latest ones; what lies below it does not pass, seen or not.
+ * Guards against messages that the transport delivers twice, possibly long after the first copy was processed: the second
+ * copy would run a request again, or run one that was refused as not run. Call ids of one incarnation only increase, so the
+ * window holds only the latest ones; calls with lower ids are rejected, seen or not.
  */
 class ReplayWindow
 {
 public:
-    /*! @brief Call ids held for each daemon; a call that comes after so many newer ones does not pass. */
+    /*! @brief Call ids tracked per daemon; a call whose id is this much below the highest one is rejected. */
     static constexpr std::size_t size = 4096;
 
     /**
-     * @brief Asks whether a call comes for the first time.
-     * @param daemon The daemon that makes it.
-     * @param incarnation Its life; once a later one is known, calls of this one do not pass.
+     * @brief Checks and records a call.
+     * @param daemon The daemon that makes the call.
+     * @param incarnation Incarnation of the daemon; once a later one is known, calls of earlier ones are rejected.
      * @param call The call.
-     * @return True exactly once for each call.
+     * @return True if the call is new; at most once for each call.
      */
     [[nodiscard]] bool accept(const DaemonId &daemon, Incarnation incarnation, CallId call);
 
--- a/src/egretlatch/retry/request_key.cpp
+++ b/src/egretlatch/retry/request_key.cpp
@@ -21,7 +21,7 @@
 constexpr int maxResends = 99;
 constexpr std::size_t uuidSize = 36;
 
-/*! @brief Reads a text from its front; fails for good at the first thing that does not fit. */
+/*! @brief Consumes a text from its front; each read fails if the text doesn't match. */
 class Reader
 {
 public:
@@ -82,7 +82,7 @@
                        owner.daemon.value);
 }
 
-// Only the form that next() writes is a resend number: no leading zero, within the bound.
+// Only the form that next() writes is a resend number: without leading zero and within the limit.
 [[nodiscard]] static int parseResend(const std::string_view suffix)
 {
     const std::size_t separator = suffix.rfind('~');
@@ -151,7 +151,7 @@
         return std::nullopt;
     }
     RequestKey key;
-    // Either case of its digits names the same UUID, so one of them names the key.
+    // A UUID is case-insensitive, so the key uses its canonical text.
     key.m_text = uuid->toString() + std::string{suffix};
     key.m_age = std::chrono::duration_cast<std::chrono::milliseconds>(minted->time_since_epoch());
     key.m_resend = resend;
--- a/src/egretlatch/retry/shard_grants.cpp
+++ b/src/egretlatch/retry/shard_grants.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr std::string_view rowPrefix = "key-shard/";
-// Keys minted while the last calls of a leaving daemon come in are still its own.
+// A leaving daemon keeps the keys minted within this time, while its last calls arrive.
 constexpr std::chrono::seconds releaseDelay{2};
 
 [[nodiscard]] static std::chrono::milliseconds toMilliseconds(const WallTime wall)
@@ -40,8 +40,8 @@
 
 bool ShardGrants::owns(const Uuid &key) const
 {
-    // A row in memory was read from the table, or written to it with the write known to have taken effect; what was
-    // merely asked for, or may have been written, is not in it.
+    // A row in memory was either read from the table or written to it by a write that is known to have taken effect. Grants
+    // that were only requested, or whose write may have failed, aren't in it.
     const std::optional<std::chrono::milliseconds> releasedFrom = m_shards.at(static_cast<std::size_t>(shardOf(key))).releasedFrom;
     const bool isReleased = releasedFrom.has_value() && internal::toMilliseconds(*key.mintedAt()) >= *releasedFrom;
     return ownerOf(key) == m_self && !isReleased;
@@ -79,7 +79,7 @@
             if (!isOwn || shard.releasedFrom.has_value() || last->until <= wall + internal::releaseDelay) {
                 return std::nullopt;
             }
-            // Given up before the table is told: another daemon may be granted the time as soon as the row is written.
+            // Released before the table is written: another daemon may be granted the time as soon as the row is written.
             shard.releasedFrom = wall + internal::releaseDelay;
             startWrite(number, shard.row.truncate(*shard.releasedFrom));
         } else {
@@ -142,7 +142,7 @@
         m_hasRead = true;
     }
     const std::chrono::milliseconds wait = isRead ? m_times.readInterval : m_times.retryInterval;
-    // Half of the wait is jitter, so that a fleet that started together does not read together.
+    // Jitter between half and one and a half of the interval, so that daemons that started together don't read together.
     m_nextReadAt = now + wait / 2 + std::chrono::milliseconds{m_random.below(static_cast<std::uint64_t>(wait.count()))};
     return true;
 }
@@ -155,7 +155,7 @@
             continue;
         }
         Shard &shard = m_shards.at(static_cast<std::size_t>(*number));
-        // While a write of one's own is under way, the row comes from its end; a read may be older than that.
+        // While an own write is in progress, its outcome decides the row; the rows just read may be older.
         if (shard.write.has_value() || row.version == shard.version) {
             continue;
         }
@@ -183,7 +183,7 @@
         break;
     }
     shard.write.reset();
-    // The version that the row has now is not told by a write; all rows are read anew before the next one.
+    // The reply to a write doesn't contain the new version of the row, so all rows are read again before the next write.
     m_nextReadAt = std::min(m_nextReadAt, now);
     shard.nextRequestAt = now + m_times.retryInterval;
 }
--- a/src/egretlatch/retry/shard_grants.hpp
+++ b/src/egretlatch/retry/shard_grants.hpp
@@ -16,80 +16,80 @@
 namespace egretlatch::retry
 {
 
-/*! @brief How long grants are, and how often the rows are looked at. */
+/*! @brief Length of grants and intervals of reads. */
 struct GrantTimes
 {
-    /*! @brief Length of a grant from now on; an outage of the table shorter than half of it goes unnoticed. */
+    /*! @brief Length of a new grant; table outages shorter than half of it have no effect. */
     std::chrono::milliseconds length{std::chrono::minutes{10}};
     /*! @brief Time between two reads of all rows. */
     std::chrono::milliseconds readInterval{std::chrono::seconds{30}};
-    /*! @brief Time between two reads while a row is missing, or after a failure. */
+    /*! @brief Time between two reads after a failure, and before a shard is checked or written again. */
     std::chrono::milliseconds retryInterval{std::chrono::seconds{1}};
 
     friend bool operator==(const GrantTimes &, const GrantTimes &) = default;
 };
 
 /**
- * @brief Knows to whom the request keys belong that carry a time but no owner, and takes a share of them.
+ * @brief Finds the owners of request keys that contain a time but no owner, and acquires grants for a share of them.
  *
- * The key's time never changes, intervals of a shard never overlap, and only the owner of the interval runs the key. So
- * no two daemons run it, whatever their clocks say and however late one of them wakes; clocks decide only whether a key
- * finds an owner at all.
+ * The time of a key never changes, the intervals of a shard never overlap, and only the owner of an interval runs its keys.
+ * So no two daemons run the same key, however wrong their clocks are and however long one of them was suspended. Clocks only
+ * affect whether a key has an owner at all.
  */
 class ShardGrants
 {
 public:
-    /*! @brief Tells whether this daemon is the one that should hold a shard. */
+    /*! @brief Returns true if this daemon should own the shard. */
     using IsPreferred = std::function<bool(int shard)>;
 
     /**
-     * @brief Builds it without grants.
-     * @param self The life of this daemon.
-     * @param random Source of jitter and write ids; must outlive it.
-     * @param times Lengths and intervals.
+     * @brief Creates an instance without grants.
+     * @param self This daemon and its incarnation.
+     * @param random Source of jitter and write ids; must outlive the instance.
+     * @param times Length of grants and intervals of reads.
      */
     ShardGrants(KeyOwner self, RandomSource &random, GrantTimes times = {});
 
     /**
      * @brief Finds the owner of a key.
      * @param key A version 7 UUID.
-     * @return The owner, or nothing if none is known.
+     * @return The owner, or nothing if no owner is known.
      */
     [[nodiscard]] std::optional<KeyOwner> ownerOf(const Uuid &key) const;
 
     /**
-     * @brief Tells whether this life may run a key.
+     * @brief Checks if this incarnation may run a key.
      * @param key A version 7 UUID.
-     * @return True if the key lies in an interval that the table granted to this life.
+     * @return True if the key lies in an interval that was granted to this incarnation and isn't released.
      */
     [[nodiscard]] bool owns(const Uuid &key) const;
 
     /**
-     * @brief Gives what to ask of the platform now.
+     * @brief Returns the requests to send to the platform's table now.
      * @param wall Calendar time.
      * @param now Steady time.
-     * @param isPreferred Which shards to hold.
-     * @return At most one request for each shard, or a read of all.
+     * @param isPreferred Selects the shards that this daemon should own.
+     * @return At most one request for each shard, and at most one scan of all rows.
      */
     [[nodiscard]] std::vector<store::Request> tick(WallTime wall, SteadyTime now, const IsPreferred &isPreferred);
 
     /**
-     * @brief Notes under which id a request of tick() was sent.
+     * @brief Records the id under which a request of tick() was sent.
      * @param id The id.
      * @param request The request.
      */
     void noteRequestSent(store::RequestId id, const store::Request &request);
 
     /**
-     * @brief Takes an outcome.
-     * @param id The id.
+     * @brief Processes the outcome of a request.
+     * @param id Id of the request.
      * @param outcome The outcome.
      * @param now Steady time.
-     * @return True if the request was one of these.
+     * @return True if the request was sent by this instance.
      */
     bool take(store::RequestId id, const store::Outcome &outcome, SteadyTime now);
 
-    /*! @brief Holds nothing from now on: takes no shards, and ends its grants early. */
+    /*! @brief Starts leaving: acquires no more shards and ends own grants early. */
     void leave();
 
 private:
@@ -101,7 +101,7 @@
         ShardRow written;
         bool isRequestPending{};
         SteadyTime nextRequestAt;
-        /*! @brief Keys from here on are not run any more, whatever the row says. */
+        /*! @brief Time from which on keys aren't run any more, whatever the row says. */
         std::optional<std::chrono::milliseconds> releasedFrom;
     };
 
--- a/src/egretlatch/retry/shard_row.cpp
+++ b/src/egretlatch/retry/shard_row.cpp
@@ -66,7 +66,7 @@
         row.m_intervals.back().until = std::max(previous->until, until);
         return row;
     }
-    // Time that nobody was granted goes with what follows it: nobody can have run its keys.
+    // A gap after the last interval becomes part of the new one: no owner was granted it, so none can have run its keys.
     const std::chrono::milliseconds from = previous.has_value() ? previous->until : std::chrono::milliseconds{0};
     row.m_intervals.push_back({.from = from, .until = std::max(from, until), .owner = owner});
     if (row.m_intervals.size() > maxIntervals) {
--- a/src/egretlatch/retry/shard_row.hpp
+++ b/src/egretlatch/retry/shard_row.hpp
@@ -14,17 +14,17 @@
 namespace egretlatch::retry
 {
 
-/*! @brief Shards that the keys with a time of their own are spread over; the same number in the whole fleet. */
+/*! @brief Number of shards that keys with a time of their own are distributed over; must be the same in the whole fleet. */
 constexpr int shardCount = 64;
 
 /**
- * @brief Gives the shard of a key.
+ * @brief Returns the shard of a key.
  * @param key A version 7 UUID.
- * @return A number in [0, shardCount), the same on every daemon.
+ * @return Number of the shard in [0, shardCount); the same on every daemon.
  */
 [[nodiscard]] int shardOf(const Uuid &key) noexcept;
 
-/*! @brief The keys of a shard that were minted in [from, until) belong to the owner, for ever. */
+/*! @brief Assigns the keys of a shard minted in [from, until) to an owner permanently. */
 struct KeyInterval
 {
     std::chrono::milliseconds from{};
@@ -35,7 +35,7 @@
 };
 
 /**
- * @brief The intervals of one shard, as a row of the table.
+ * @brief Intervals of one shard, stored as a row of the table.
  *
  * Only extend() and truncate() make a new row of an old one, and the row is written on condition that the old one still
  * stands. So intervals never overlap, and one that has been written changes only at its end, by its own owner.
@@ -43,36 +43,36 @@
 class ShardRow
 {
 public:
-    /*! @brief Intervals that are kept; keys older than those belong to nobody that could be asked. */
+    /*! @brief Maximum number of intervals; the oldest are dropped, and keys from before them have no known owner. */
     static constexpr std::size_t maxIntervals = 16;
 
-    /*! @brief Builds a row without intervals. */
+    /*! @brief Creates a row without intervals. */
     ShardRow() = default;
 
     /**
-     * @brief Reads a row.
+     * @brief Parses a row.
      * @param text Value of the row.
-     * @return The row, or nothing if the text has another form.
+     * @return The row, or nothing if the text is malformed.
      */
     [[nodiscard]] static std::optional<ShardRow> parse(std::string_view text);
 
     /**
-     * @brief Gives the value to write.
-     * @param writer Names the write, so that its author knows it again.
+     * @brief Returns the value to write.
+     * @param writer Unique id of the write, by which its author recognizes it.
      * @return The text.
      */
     [[nodiscard]] std::string toText(std::string_view writer) const;
 
     /**
-     * @brief Finds whose a time is.
+     * @brief Finds the interval that contains a time.
      * @param minted Time of the key.
-     * @return The interval, or nothing if nobody was granted that time.
+     * @return The interval, or nothing if that time isn't granted.
      */
     [[nodiscard]] std::optional<KeyInterval> find(std::chrono::milliseconds minted) const;
 
     /**
      * @brief Grants the time that follows the last interval.
-     * @param owner Who gets it.
+     * @param owner The new owner.
      * @param until End of the grant.
      * @return The new row.
      */
@@ -80,14 +80,14 @@
 
     /**
      * @brief Ends the last interval early.
-     * @param until The new end; not before the interval's beginning.
+     * @param until The new end; clamped to the interval.
      * @return The new row.
      */
     [[nodiscard]] ShardRow truncate(std::chrono::milliseconds until) const;
 
     /**
-     * @brief Gives the last interval.
-     * @return The interval, or nothing in an empty row.
+     * @brief Returns the last interval.
+     * @return The interval, or nothing if the row is empty.
      */
     [[nodiscard]] std::optional<KeyInterval> last() const;
 
--- a/src/egretlatch/retry/verdict_rules.hpp
+++ b/src/egretlatch/retry/verdict_rules.hpp
@@ -8,69 +8,69 @@
 namespace egretlatch::retry
 {
 
-/*! @brief The ways in which one attempt ends, as the daemon that sees the end knows it. */
+/*! @brief Ends of an attempt, as known to the daemon that observes the end. */
 enum class AttemptEnd {
     /*! @brief The backend server answered. */
     answered,
-    /*! @brief The message never left the daemon that makes the attempt. */
+    /*! @brief The message was never sent by the daemon that makes the attempt. */
     neverSent,
-    /*! @brief The serving daemon refused it at the door; its call id is spent, so no copy of it starts later. */
+    /*! @brief The serving daemon refused the call on arrival; its call id is used up, so no later copy is started. */
     refusedOnArrival,
-    /*! @brief It was taken out of the queue before it was started. */
+    /*! @brief The call was removed from the queue before it was started. */
     removedFromQueue,
-    /*! @brief The backend server took no connection. */
+    /*! @brief The backend server accepted no connection. */
     neverConnected,
-    /*! @brief The backend server said that it did not start the request. */
+    /*! @brief The backend server reported that it didn't start the request. */
     rejectedByServer,
     /*! @brief The connection was lost after the request was sent. */
     connectionLost,
     /*! @brief The serving daemon closed the connection of a run. */
     aborted,
-    /*! @brief No answer came in time; the message may be under way still. */
+    /*! @brief No answer arrived in time; the message may still be in transit. */
     unanswered,
-    /*! @brief It was meant for an earlier life of the serving daemon, which may have run it. */
+    /*! @brief The call was meant for an earlier incarnation of the serving daemon, which may have run it. */
     meantForEarlierIncarnation,
-    /*! @brief It was meant for an earlier life of the serving daemon, which has not got it. */
+    /*! @brief The call was meant for an earlier incarnation of the serving daemon, which never received it. */
     missedEarlierIncarnation,
 };
 
 /**
- * @brief Judges one attempt.
- * @param end How it ended.
- * @return What holds of this attempt alone.
+ * @brief Returns the verdict on one attempt.
+ * @param end End of the attempt.
+ * @return Verdict on this attempt alone.
  */
 [[nodiscard]] Verdict verdictOf(AttemptEnd end) noexcept;
 
 /**
- * @brief Judges a call by its attempts.
- * @param earlier Verdict on the attempts before.
- * @param last Verdict on the last one.
- * @return `completed` if the last one is; else `not-run` only if all are.
+ * @brief Combines the verdicts on the attempts of a call.
+ * @param earlier Verdict on the earlier attempts.
+ * @param last Verdict on the last attempt.
+ * @return `completed` if the last attempt completed; otherwise `not-run` only if no attempt ran.
  */
 [[nodiscard]] Verdict combine(Verdict earlier, Verdict last) noexcept;
 
-/*! @brief What a daemon knows of the attempts that were made with a request key. */
+/*! @brief Knowledge that a daemon has of the attempts made with a request key. */
 enum class KeyKnowledge {
-    /*! @brief The request has no key, so its verdict speaks of this exchange alone. */
+    /*! @brief The request has no key, so its verdict covers this exchange alone. */
     noKey,
-    /*! @brief This daemon owns the key: each attempt with it was decided here. */
+    /*! @brief This daemon owns the key and decided every attempt with it. */
     owner,
-    /*! @brief Others may have made attempts with the key. */
+    /*! @brief Other daemons may have made attempts with the key. */
     none,
 };
 
 /**
- * @brief Judges a key.
- * @param knowledge What the daemon knows of the key.
- * @param attempts Verdict on the attempts that this daemon knows of.
- * @return The verdict to tell; never `not-run` of a key whose attempts are not all known.
+ * @brief Returns the verdict on a key.
+ * @param knowledge Knowledge that the daemon has of the key's attempts.
+ * @param attempts Verdict on the attempts known to this daemon.
+ * @return The verdict to report; never `not-run` for a key whose attempts aren't all known.
  */
 [[nodiscard]] Verdict verdictForKey(KeyKnowledge knowledge, Verdict attempts) noexcept;
 
 /**
- * @brief Judges a request that is refused before anything is known of its key.
- * @param key The key as the caller gave it; empty if it gave none.
- * @return `not-run` without a key, or with one that no daemon takes; otherwise an earlier attempt may have run elsewhere.
+ * @brief Returns the verdict on a request that is refused before its key was looked up.
+ * @param key The key as sent by the caller; empty if there is none.
+ * @return `not-run` without a key or with an invalid one, else `may-have-run`, since an earlier attempt may have run elsewhere.
  */
 [[nodiscard]] Verdict verdictBeforeLookup(std::string_view key) noexcept;
 
--- a/src/egretlatch/routing/adaptive_router.cpp
+++ b/src/egretlatch/routing/adaptive_router.cpp
@@ -12,22 +12,22 @@
 {
 
 constexpr std::size_t subsetSize = 16;
-// A further server must be expected to answer within this part of the nearer one's time to be worth the way, and the way
-// counts as so much more time, for itself and for each kilobyte that crosses: servers of one service differ in speed, and the
-// only one near may be slow.
+// A server in another data centre is chosen only if its expected latency, plus a penalty of 20 ms and 1 ms per kilobyte of
+// the answer, is below this fraction of the local one's. Local servers aren't always preferred, because the servers of a
+// service differ in speed and the only local one may be slow.
 constexpr double maxFarTimeRatio = 0.75;
 constexpr std::chrono::milliseconds farPenalty{20};
 constexpr std::chrono::duration<double, std::milli> farPenaltyPerByte{0.001};
-// Nothing is expected to be faster than this part of the usual time, whatever was told.
+// Lower bound of the expected latency as a fraction of the average, whatever speed was reported.
 constexpr double minTimeRatio = 0.2;
-// A server that fails one call in four counts as four times as slow: what fails is made again, or fails the whole chain above
-// it.
+// A server that fails one call in four counts as four times as slow: a failed call is either retried or fails the whole call
+// chain above it.
 constexpr double failurePenalty = 12.0;
 constexpr double outlierShare = 0.5;
 constexpr double outlierMargin = 0.3;
 constexpr int hangFactor = 3;
 constexpr std::chrono::milliseconds minHangTime{50};
-// A daemon that has just started learns of servers one by one; none of them is cold for that.
+// A daemon that has just started discovers servers one by one; servers discovered within this time aren't treated as cold.
 constexpr std::chrono::seconds startupGrace{5};
 
 } // namespace internal
@@ -70,7 +70,7 @@
         service.servers.clear();
         service.draining = std::move(draining[name]);
     }
-    // Near and far servers have subsets of their own, so that there is always somewhere to spill to.
+    // Local and remote servers get separate subsets, so that calls can always spill over to another data centre.
     for (auto *const group : {&near, &far}) {
         for (auto &[service, ids] : *group) {
             const std::vector<DaemonId> subset = subsetOf(self.id, std::move(ids), internal::subsetSize);
@@ -150,8 +150,8 @@
     };
     std::copy_if(service.servers.begin(), service.servers.end(), std::back_inserter(untried), isUntried);
     if (untried.empty()) {
-        // The last servers of a small service may all be draining, or their daemons ending, one restart after the other. Their
-        // doors stay open for a while; without them each request that leads there fails until one is back.
+        // In a rolling restart of a small service, all of its servers or their daemons may be draining at once. They still
+        // accept calls for a while; without this fallback every request to the service fails until one is back.
         std::copy_if(service.draining.begin(), service.draining.end(), std::back_inserter(untried), isUntried);
     }
     return untried;
@@ -162,9 +162,10 @@
     const Duration average = std::max(service.averages.latency(kind), service.paces.mean(kind));
     const Duration minimum = std::chrono::duration_cast<Duration>(average * internal::minTimeRatio);
     const Milliseconds unloaded = std::max(average + service.paces.excessTime(id, kind, now), minimum);
-    // Servers slow down as they fill, and beyond their slots calls wait; the square keeps all calls from one fast server.
+    // Servers slow down under load, and calls beyond their slots are queued. The quadratic term keeps a single fast server
+    // from getting all calls.
     const double load = m_servers.at(id).record.load(now);
-    // What fails has to be made again, or fails its caller.
+    // A failed call has to be retried or fails its caller, so failures count as extra latency.
     return unloaded * (1.0 + load * load) * (1.0 + internal::failurePenalty * service.paces.failureShare(id, kind, now));
 }
 
@@ -220,7 +221,8 @@
     case AttemptOutcome::lost:
         return true;
     case AttemptOutcome::abandoned:
-        // Callers with short timeouts hide a server that hangs: its attempts end early and it would look idle.
+        // A server that hangs would look idle to callers with short timeouts, since they abandon its attempts early. So an
+        // abandoned attempt that took far longer than average counts as a failure.
         return result.latency > std::max<Duration>(internal::hangFactor * service.averages.latency(result.kind), internal::minHangTime);
     case AttemptOutcome::answered:
     case AttemptOutcome::refused:
@@ -236,8 +238,8 @@
     if (share < internal::outlierShare || record.isEjected(now)) {
         return;
     }
-    // When all servers of a service fail, the cause is elsewhere, as in a service further down, and taking servers out
-    // would only make the rest fuller. So a server is judged against its peers, and half of them always stay.
+    // When all servers of a service fail, the cause is elsewhere, for example in a service they depend on, and ejecting
+    // servers would only overload the rest. So a server is compared with its peers, and at most half of them are ejected.
     std::size_t ejected = 0;
     std::size_t knownPeers = 0;
     double peerShares = 0.0;
@@ -252,8 +254,8 @@
             ++knownPeers;
         }
     }
-    // Peers that got nothing lately are not known to fail: a near server that fails fast looks empty, and would keep all
-    // requests from far ones that are well.
+    // Peers without recent attempts aren't assumed to fail: a local server that fails fast looks idle, and would otherwise
+    // keep all requests away from healthy servers in other data centres.
     const double peerShare = knownPeers == 0 ? 0.0 : peerShares / static_cast<double>(knownPeers);
     const bool isOutlier = share > peerShare + internal::outlierMargin;
     if (isOutlier && 2 * (ejected + 1) <= service.servers.size()) {
--- a/src/egretlatch/routing/adaptive_router.hpp
+++ b/src/egretlatch/routing/adaptive_router.hpp
@@ -13,11 +13,12 @@
 {
 
 /**
- * @brief The router of the whole design.
+ * @brief Routes by expected latency, with data centre affinity and outlier ejection.
  *
- * Takes the one of two random servers of the daemon's own data centre where the answer is expected first, by how slow and
- * how full each is; the better of two further away has the call where it is expected to answer that much sooner that the
- * way is paid for. Servers that fail more than their peers are taken out and tried again gently.
+ * Picks two random servers of the local data centre and chooses the one with the lower expected latency, estimated from its
+ * speed, its load and its failures (power of two choices). The better of two servers in other data centres gets the call if
+ * its expected latency is lower by more than the cost of the distance. Servers that fail more often than their peers are
+ * ejected for a while and then ramped up again.
  */
 class AdaptiveRouter final : public Router
 {
@@ -36,7 +37,7 @@
 private:
     using Milliseconds = std::chrono::duration<double, std::milli>;
 
-    /*! @brief A server that a call may go to, and when its answer is expected. */
+    /*! @brief A candidate server and its expected latency. */
     struct Choice
     {
         DaemonId id;
@@ -55,7 +56,7 @@
     struct Service
     {
         std::vector<DaemonId> servers;
-        /*! @brief Those that have said that they leave; chosen only where no other is left. */
+        /*! @brief Draining servers; chosen only if no other server remains. */
         std::vector<DaemonId> draining;
         KindAverages averages;
         ServerPaces paces;
--- a/src/egretlatch/routing/kind_averages.cpp
+++ b/src/egretlatch/routing/kind_averages.cpp
@@ -9,10 +9,11 @@
 {
 
 constexpr int averagingSamples = 50;
-// Stands for kinds of which no answer was seen.
+// Used for kinds without any answer yet.
 constexpr std::chrono::milliseconds defaultLatency{100};
 constexpr std::chrono::milliseconds minLatency{1};
-// One answer in a hundred takes many times as long by its own nature; it counts as so many usual ones.
+// Some kinds have heavy-tailed latencies: one answer in a hundred takes many times as long as the others. A sample is clamped
+// to this multiple of the average.
 constexpr int maxLatencyRatio = 4;
 
 } // namespace internal
--- a/src/egretlatch/routing/kind_averages.hpp
+++ b/src/egretlatch/routing/kind_averages.hpp
@@ -10,29 +10,29 @@
 namespace egretlatch::routing
 {
 
-/*! @brief What answers of one service take and weigh, by kind, over all of its servers. */
+/*! @brief Moving averages of latency and size of the answers of one service, by kind, over all of its servers. */
 class KindAverages
 {
 public:
     /**
-     * @brief Takes an answer.
+     * @brief Adds an answer.
      * @param kind Kind of the call.
-     * @param latency From sending to the answer.
-     * @param bytes Size of the answer's body.
+     * @param latency Time from sending the call to receiving the answer.
+     * @param bytes Size of the answer's body in bytes.
      */
     void note(const std::string &kind, Duration latency, std::size_t bytes);
 
     /**
-     * @brief Gives the usual time to an answer.
+     * @brief Returns the average latency of an answer.
      * @param kind Kind of the call.
-     * @return The time, or that of a middling call for a kind that was not seen.
+     * @return The latency, or a default of 100 ms for an unknown kind.
      */
     [[nodiscard]] Duration latency(const std::string &kind) const;
 
     /**
-     * @brief Gives the usual size of an answer.
+     * @brief Returns the average size of an answer.
      * @param kind Kind of the call.
-     * @return The size in bytes, or 0 for a kind that was not seen.
+     * @return The size in bytes, or 0 for an unknown kind.
      */
     [[nodiscard]] double bytes(const std::string &kind) const;
 
--- a/src/egretlatch/routing/least_loaded_router.hpp
+++ b/src/egretlatch/routing/least_loaded_router.hpp
@@ -9,7 +9,7 @@
 namespace egretlatch::routing
 {
 
-/*! @brief A baseline: the better of two random servers, by this daemon's own attempts in flight. */
+/*! @brief Baseline router: chooses the one of two random servers with fewer attempts in flight from this daemon. */
 class LeastLoadedRouter final : public Router
 {
 public:
--- a/src/egretlatch/routing/router.hpp
+++ b/src/egretlatch/routing/router.hpp
@@ -16,41 +16,41 @@
 namespace egretlatch::routing
 {
 
-/*! @brief A call that needs a backend server. */
+/*! @brief Describes a call that needs a backend server. */
 struct RouteRequest
 {
     std::string service;
     std::string kind;
     Uuid root;
-    /*! @brief Daemons that this call has already been tried at. */
+    /*! @brief Daemons that the call has already been sent to. */
     std::set<DaemonId> excluded;
-    /*! @brief When nobody waits for the call any more. */
+    /*! @brief Deadline of the call, after which no caller waits for it. */
     SteadyTime deadline;
 };
 
-/*! @brief How an attempt at a serving daemon ended. */
+/*! @brief Outcomes of an attempt at a serving daemon. */
 enum class AttemptOutcome {
     answered,
     /*! @brief The backend server answered with a server error. */
     failed,
-    /*! @brief The serving daemon refused for lack of capacity. */
+    /*! @brief The serving daemon refused the call for lack of capacity. */
     refused,
-    /*! @brief No answer came: the daemon or its backend server is down or cut off. */
+    /*! @brief No answer arrived: the daemon or its backend server is down or unreachable. */
     lost,
-    /*! @brief The caller went away before the answer. */
+    /*! @brief The caller disconnected or timed out before the answer. */
     abandoned,
 };
 
-/*! @brief What an attempt shows of the server it was made at. */
+/*! @brief Result of an attempt, as seen by the daemon that made it. */
 struct AttemptResult
 {
     AttemptOutcome outcome{};
     std::string kind;
-    /*! @brief From sending to the answer. */
+    /*! @brief Time from sending the call to receiving the answer. */
     Duration latency{};
-    /*! @brief Size of the answer's body. */
+    /*! @brief Size of the answer's body in bytes. */
     std::size_t bytes{};
-    /*! @brief What the serving daemon told with the answer. */
+    /*! @brief Load that the serving daemon reported with the answer. */
     std::optional<admission::LoadReport> load;
 };
 
@@ -61,8 +61,8 @@
     virtual ~Router() = default;
 
     /**
-     * @brief Takes the members that are known now.
-     * @param members All members, in any state, this daemon first.
+     * @brief Updates the known members.
+     * @param members All members in any state, this daemon first.
      * @param now Current time.
      */
     virtual void setMembers(const std::vector<membership::Member> &members, SteadyTime now) = 0;
@@ -71,22 +71,22 @@
      * @brief Chooses a server and counts an attempt as in flight there.
      * @param request The call.
      * @param now Current time.
-     * @return The daemon beside the chosen server, or nothing if there is none to choose.
+     * @return The daemon of the chosen server, or nothing if there is no candidate.
      */
     [[nodiscard]] virtual std::optional<DaemonId> choose(const RouteRequest &request, SteadyTime now) = 0;
 
     /**
-     * @brief Ends an attempt that choose() began.
+     * @brief Records the end of an attempt that choose() started.
      * @param daemon The daemon that was chosen.
-     * @param result How it ended.
+     * @param result Result of the attempt.
      * @param now Current time.
      */
     virtual void noteResult(const DaemonId &daemon, const AttemptResult &result, SteadyTime now) = 0;
 
     /**
-     * @brief Takes what a daemon tells of its server's speed.
+     * @brief Records the speed that a daemon reports for its server.
      * @param daemon The daemon.
-     * @param paces Its paces, by kind.
+     * @param paces Run times and failure shares of its server, by kind of call.
      * @param now Current time.
      */
     virtual void notePaces(const DaemonId &daemon, const std::vector<admission::KindPace> &paces, SteadyTime now) = 0;
--- a/src/egretlatch/routing/server_paces.cpp
+++ b/src/egretlatch/routing/server_paces.cpp
@@ -9,7 +9,7 @@
 namespace internal
 {
 
-// A daemon hears from each other one within this time in fleets of up to twenty.
+// Decay time of a report. In fleets of up to twenty daemons each one receives a report from every other within this time.
 constexpr std::chrono::seconds paceDecayTime{10};
 constexpr std::size_t maxKinds = 64;
 
--- a/src/egretlatch/routing/server_paces.hpp
+++ b/src/egretlatch/routing/server_paces.hpp
@@ -12,51 +12,51 @@
 {
 
 /**
- * @brief How fast the servers of one service are, as their daemons report.
+ * @brief Stores how fast the servers of one service are, as reported by their daemons.
  *
- * At a few calls a second a daemon would take minutes to find out for itself which servers are slow, and would have to try
- * them for it; each server's own daemon sees all of its runs.
+ * At a few calls a second, a daemon would need minutes to find slow servers by itself, and would have to send calls to them.
+ * A server's own daemon sees all of its runs.
  */
 class ServerPaces
 {
 public:
     /**
-     * @brief Takes what a daemon told of its server.
+     * @brief Records a daemon's report on its server.
      * @param server The daemon.
-     * @param pace The pace at one kind.
+     * @param pace Run time and failure share for one kind of call.
      * @param now Current time.
      */
     void note(const DaemonId &server, const admission::KindPace &pace, SteadyTime now);
 
     /**
-     * @brief Forgets a server, as when another one took its place.
+     * @brief Removes all reports on a server, for example after it was replaced by another one.
      * @param server The daemon.
      */
     void forget(const DaemonId &server);
 
     /**
-     * @brief Gives how much longer a server takes than the servers do on average.
+     * @brief Returns how much longer a server takes than the average of all servers.
      * @param server The daemon.
      * @param kind Kind of the call.
      * @param now Current time.
-     * @return The difference, below zero for a fast server; it goes to zero while nothing is heard, so that a slow server
-     * is tried again.
+     * @return The difference, negative for a fast server. It decays to zero while no reports arrive, so that a slow server is
+     * tried again.
      */
     [[nodiscard]] Duration excessTime(const DaemonId &server, const std::string &kind, SteadyTime now) const;
 
     /**
-     * @brief Gives how often a server fails.
+     * @brief Returns the share of its runs that a server fails.
      * @param server The daemon.
      * @param kind Kind of the call.
      * @param now Current time.
-     * @return The part of the runs that it failed by itself, 0 to 1; it goes to zero while nothing is heard.
+     * @return Share of runs that failed through the server's own fault, 0 to 1. It decays to zero while no reports arrive.
      */
     [[nodiscard]] double failureShare(const DaemonId &server, const std::string &kind, SteadyTime now) const;
 
     /**
-     * @brief Gives what the servers take on average.
+     * @brief Returns the average run time of the servers.
      * @param kind Kind of the call.
-     * @return The time of a run without what it waits for inner calls; zero if nothing was reported.
+     * @return Run time without the time spent waiting for inner calls; zero if nothing was reported.
      */
     [[nodiscard]] Duration mean(const std::string &kind) const;
 
@@ -74,7 +74,7 @@
     struct Kind
     {
         std::map<DaemonId, Report> servers;
-        /*! @brief Sum of the servers' own times: the mean is asked for with each server that is weighed for a call. */
+        /*! @brief Sum of the servers' own run times, maintained because the mean is needed for each candidate of a call. */
         Duration totalOwnTime{};
     };
 
--- a/src/egretlatch/routing/server_record.cpp
+++ b/src/egretlatch/routing/server_record.cpp
@@ -18,7 +18,7 @@
 constexpr std::chrono::seconds expiryGrace{1};
 constexpr int maxDoublings = 3;
 constexpr double minAttempts = 4.0;
-// A server that has been taken out lately is not owed four more calls.
+// A recently ejected server can be ejected again after a single failed call instead of four.
 constexpr double minAttemptsOnProbation = 0.9;
 constexpr double minCapacityShare = 0.1;
 constexpr double loadAfterRefusal = 1.5;
@@ -118,7 +118,7 @@
     const double limit = m_report.limit > 0 && fresh > 0.0 ? m_report.limit : m_slots;
     const double capacity = std::max(limit, 1.0) * capacityShare(now);
     const double estimate = (std::max(reported, static_cast<double>(inFlight())) + 1.0) / capacity;
-    // A server that refuses has few requests in flight and would look idle.
+    // A server that refuses calls has few of them in flight and would otherwise look idle.
     const bool hasRefused = now - m_refusedAt < internal::refusalLifetime;
     return hasRefused ? std::max(estimate, internal::loadAfterRefusal) : estimate;
 }
--- a/src/egretlatch/routing/server_record.hpp
+++ b/src/egretlatch/routing/server_record.hpp
@@ -11,50 +11,50 @@
 namespace egretlatch::routing
 {
 
-/*! @brief What one daemon knows of a server from its own attempts there. */
+/*! @brief Tracks load and failures of a server, based on this daemon's own attempts there. */
 class ServerRecord
 {
 public:
     /**
-     * @brief Starts with a server that has just come.
+     * @brief Creates a record for a newly discovered server.
      * @param slots Slots that it announced.
-     * @param since When it came.
-     * @param isCold Whether it is to be ramped, as one that comes while others serve.
+     * @param since Time of discovery.
+     * @param isCold True if its load is to be ramped up, as for a server that joins while others are serving.
      */
     ServerRecord(int slots, SteadyTime since, bool isCold);
 
     /**
      * @brief Counts an attempt as in flight.
-     * @param deadline When nobody waits for it any more.
+     * @param deadline Deadline of the call, after which no caller waits for it.
      */
     void begin(SteadyTime deadline);
 
     /**
-     * @brief Ends an attempt.
-     * @param result How it ended.
-     * @param isFailure Whether it speaks against the server.
+     * @brief Records the end of an attempt.
+     * @param result Result of the attempt.
+     * @param isFailure True if the attempt counts as a failure of the server.
      * @param now Current time.
      */
     void end(const AttemptResult &result, bool isFailure, SteadyTime now);
 
     /**
-     * @brief Forgets attempts whose end was never told.
+     * @brief Removes attempts whose end was never reported.
      *
-     * An attempt that stayed counted would take a share of the server's load away for ever, and its server would look busy
-     * while it idles. Whoever waited has given up at the deadline, so an attempt well past it is over.
+     * An attempt that stayed in flight would permanently take up a part of the server's capacity, so that an idle server looked
+     * busy. Callers give up at the deadline, so an attempt that is a second past it is over.
      * @param now Current time.
      */
     void expire(SteadyTime now);
 
     /**
-     * @brief Gives the share of recent attempts that failed.
+     * @brief Returns the share of recent attempts that failed.
      * @param now Current time.
-     * @return 0 to 1, or nothing with too few attempts to tell.
+     * @return 0 to 1, or nothing if there are too few recent attempts.
      */
     [[nodiscard]] std::optional<double> failureShare(SteadyTime now) const;
 
     /**
-     * @brief Takes the server out for a while, longer with each time in a row.
+     * @brief Ejects the server for a while; the time doubles with each consecutive ejection, up to a limit.
      * @param now Current time.
      */
     void eject(SteadyTime now);
@@ -65,16 +65,16 @@
     }
 
     /**
-     * @brief Gives the part of its capacity that the server is trusted with.
+     * @brief Returns the share of its capacity that the server may use.
      * @param now Current time.
-     * @return Above 0, up to 1; small after a cold start or an ejection.
+     * @return Above 0, up to 1; ramps up after a cold start or an ejection.
      */
     [[nodiscard]] double capacityShare(SteadyTime now) const;
 
     /**
-     * @brief Gives how full the server is thought to be, for comparison.
+     * @brief Estimates the load of the server, for comparison with others.
      * @param now Current time.
-     * @return Requests there, a further one included, over what it is trusted to run; above 1 the further one would wait.
+     * @return Requests at the server, including one more, divided by its usable capacity; above 1 the new one would be queued.
      */
     [[nodiscard]] double load(SteadyTime now) const;
 
@@ -84,8 +84,8 @@
     }
 
     /**
-     * @brief Takes a changed announcement.
-     * @param slots Slots that it announced.
+     * @brief Updates the number of slots.
+     * @param slots Slots that the server announced.
      */
     void setSlots(const int slots) noexcept
     {
@@ -105,7 +105,7 @@
     bool m_hasRamp;
     SteadyTime m_ejectedUntil;
     int m_ejections{};
-    /*! @brief Recent attempts and failures, decaying. */
+    /*! @brief Exponentially decaying counts of attempts and failures. */
     double m_attempts{};
     double m_failures{};
     SteadyTime m_decayedAt;
--- a/src/egretlatch/routing/subset.hpp
+++ b/src/egretlatch/routing/subset.hpp
@@ -10,14 +10,14 @@
 {
 
 /**
- * @brief Chooses the servers of a large service that one daemon talks to, by rendezvous hashing.
+ * @brief Selects the servers of a large service that one daemon sends calls to, by rendezvous hashing.
  *
- * Each daemon chooses alone and the same daemons choose the same way each time; a server that comes or goes changes one
- * place of those subsets that it belongs to.
- * @param chooser The daemon that chooses.
+ * The selection needs no coordination and is deterministic for a daemon. A server that joins or leaves changes one entry of
+ * each subset that it belongs to.
+ * @param chooser The daemon that selects.
  * @param servers All servers.
- * @param size Servers to choose.
- * @return The chosen ones in order of their ids; all of them if there are no more than that.
+ * @param size Number of servers to select.
+ * @return The selected servers, sorted by id; all servers if there are no more than size.
  */
 [[nodiscard]] std::vector<DaemonId> subsetOf(const DaemonId &chooser, std::vector<DaemonId> servers, std::size_t size);
 
--- a/src/egretlatch/routing/weighted_targets.cpp
+++ b/src/egretlatch/routing/weighted_targets.cpp
@@ -8,7 +8,7 @@
 namespace internal
 {
 
-// Weights are hundredths in practice; larger ones need no exact place.
+// Weights are percentages in practice; with a larger sum the initial position needn't be spread over the whole cycle.
 constexpr std::uint64_t maxInitialSteps = 10'000;
 
 } // namespace internal
@@ -37,7 +37,7 @@
     for (const manifest::RouteTarget &target : route.targets) {
         totalWeight += static_cast<std::uint64_t>(target.weight);
     }
-    // A whole round brings the rotation back to where it began, so any place within one is as good as any other.
+    // The rotation repeats after as many steps as the weights sum up to, so every position within that cycle is a valid start.
     const std::uint64_t steps = m_random.below(std::min(totalWeight, internal::maxInitialSteps));
     for (std::uint64_t step = 0; step < steps; ++step) {
         static_cast<void>(advance(rotation));
--- a/src/egretlatch/routing/weighted_targets.hpp
+++ b/src/egretlatch/routing/weighted_targets.hpp
@@ -12,26 +12,26 @@
 {
 
 /**
- * @brief Shares out the requests of a route among its targets by weight.
+ * @brief Distributes the requests of a route over its targets by smooth weighted round robin.
  *
- * Each target's share is kept over any few requests, not only on average: a draw for each request would be off by several
- * parts in a hundred over the few hundred requests that a part is judged by. Whether a target has room is not asked, so a
- * part that is short of room keeps its share of refusals, too. Daemons begin at random places, or all would send their
- * first requests to the same target.
+ * Each target gets its share of any short run of requests, not only on average: random choice would be off by several percent
+ * over the few hundred requests that a target is evaluated by. The capacity of a target isn't considered, so a target with
+ * too little capacity also keeps its share of refusals. Daemons start at random positions, since otherwise all of them
+ * would send their first requests to the same target.
  */
 class WeightedTargets
 {
 public:
     /**
-     * @brief Builds it.
-     * @param random Source of the places to begin at; must outlive it.
+     * @brief Creates an instance without routes.
+     * @param random Source of the initial positions; must outlive the instance.
      */
     explicit WeightedTargets(RandomSource &random);
 
     /**
-     * @brief Chooses the target of one request.
-     * @param route The route; has at least one target with a weight.
-     * @return The service.
+     * @brief Chooses the target of the next request.
+     * @param route The route; must have at least one target with a positive weight.
+     * @return Name of the target's service.
      */
     [[nodiscard]] const std::string &choose(const manifest::RouteSpec &route);
 
@@ -39,7 +39,7 @@
     struct Rotation
     {
         std::vector<manifest::RouteTarget> targets;
-        /*! @brief What each target is owed, in parts of the sum of the weights. */
+        /*! @brief Credit of each target, in units of weight; the target with the highest credit is next. */
         std::vector<double> credits;
     };
 
--- a/test/egretlatch/retry/budgets.cpp
+++ b/test/egretlatch/retry/budgets.cpp
@@ -7,9 +7,10 @@
 using namespace egretlatch;
 using namespace egretlatch::retry;
 
-TEST_CASE("retries towards a service stay a share of its first attempts")
+TEST_CASE("retries to a service stay a fraction of its first attempts")
 {
-    // A service that is down gets three times its load: each root still has its own budget, and spends all of it.
+    // Guards against retry amplification: each root has its own attempt budget and would spend all of it at a failing service,
+    // which gets three times its load.
     RatioBudget budget;
     constexpr int roots = 1000;
     int retries = 0;
@@ -22,7 +23,7 @@
     CHECK(retries >= roots / 10 - 1);
 }
 
-TEST_CASE("the wait before a retry grows, stays below its bound and is not the same for all")
+TEST_CASE("the delay before a retry grows, stays below its bound and is randomized")
 {
     SeededRandom random{3};
     Duration longest{};
@@ -35,7 +36,7 @@
     CHECK(longest > backoffBase * 32);
 }
 
-TEST_CASE("not-run is told only where each attempt with the key is known not to have run")
+TEST_CASE("not-run is reported only if each attempt with the key is known not to have run")
 {
     CHECK((combine(Verdict::notRun, verdictOf(AttemptEnd::removedFromQueue)) == Verdict::notRun));
     CHECK((combine(Verdict::mayHaveRun, verdictOf(AttemptEnd::removedFromQueue)) == Verdict::mayHaveRun));
@@ -47,10 +48,10 @@
     CHECK((verdictBeforeLookup("any") == Verdict::mayHaveRun));
 }
 
-TEST_CASE("repeats that are made in any case stop retries until they are paid")
+TEST_CASE("charged repeats stop retries until the debt is paid")
 {
-    // Two services of a chain lose answers at once. Each repeats within its bound, and the service below both gets the repeats
-    // of either, twice what it may get.
+    // When two services of a call chain lose answers at once, each retries within its budget, and the service below both gets
+    // the repeats of both, twice its limit.
     retry::RatioBudget budget;
     budget.setMaxSaved(2.0);
     CHECK(budget.take("roster"));
@@ -62,7 +63,7 @@
     }
     CHECK(budget.take("roster"));
     CHECK(!budget.take("roster"));
-    // A debt is bounded, or a long trouble would forbid retries long after its end.
+    // The debt is bounded; otherwise a long incident would block retries long after it ended.
     for (int call = 0; call < 10'000; ++call) {
         budget.charge("roster");
     }
--- a/test/egretlatch/retry/key_ledger.cpp
+++ b/test/egretlatch/retry/key_ledger.cpp
@@ -21,7 +21,7 @@
 
 using internal::request;
 
-TEST_CASE("a key stands as its run ended")
+TEST_CASE("the state of a key follows the verdict on its run")
 {
     KeyLedger ledger;
     CHECK(internal::stateOf(ledger, "a", 1ms) == KeyState::fresh);
@@ -39,10 +39,10 @@
     CHECK(ledger.find("a", 1ms, request + 1).state == KeyState::mismatched);
 }
 
-TEST_CASE("what is forgotten is never taken for fresh")
+TEST_CASE("a forgotten key is never mistaken for a fresh one")
 {
-    // A member is billed twice. The resend of a launch entry comes after the daemon has dropped its key for want of
-    // memory; the key looks as if it had never been seen, and the entry runs again.
+    // Guards against running a request twice (a member was billed twice): a resend arrives after the daemon has evicted its key
+    // to free memory, and the key looks as if it had never been seen.
     KeyLedger ledger{{.entries = 2, .answerBytes = 1000}};
     for (const auto &[key, age] : {std::pair{"a", 1ms}, std::pair{"b", 2ms}, std::pair{"c", 3ms}, std::pair{"d", 4ms}}) {
         ledger.begin(key, age, request);
@@ -57,7 +57,7 @@
     CHECK(internal::stateOf(ledger, "never seen", 3ms) == KeyState::fresh);
 }
 
-TEST_CASE("a key that runs is not forgotten, however old")
+TEST_CASE("a running key is not forgotten, however old")
 {
     KeyLedger ledger{{.entries = 2, .answerBytes = 1000}};
     ledger.begin("old", 1ms, request);
@@ -70,7 +70,7 @@
     CHECK(internal::stateOf(ledger, "old", 1ms) == KeyState::running);
 }
 
-TEST_CASE("answers beyond the bound are dropped, the oldest first, and are not run again")
+TEST_CASE("answers beyond the memory limit are dropped, oldest first, and their keys are not run again")
 {
     KeyLedger ledger{{.entries = 100, .answerBytes = 10}};
     for (const char *const key : {"a", "b", "c"}) {
--- a/test/egretlatch/retry/replay_window.cpp
+++ b/test/egretlatch/retry/replay_window.cpp
@@ -5,10 +5,10 @@
 using namespace egretlatch;
 using namespace egretlatch::retry;
 
-TEST_CASE("a call that the transport delivers twice passes once")
+TEST_CASE("a call that the transport delivers twice is accepted once")
 {
-    // A launch is billed twice. The transport delivers the attempt a second time after the first has ended, and the
-    // serving daemon, which remembered only what was running, starts it again.
+    // Guards against running a request twice (a launch was billed twice): the transport delivers an attempt again after it has
+    // ended, and a serving daemon that tracks only running calls starts it again.
     ReplayWindow window;
 
     CHECK(window.accept({"a"}, {1}, {7}));
@@ -18,7 +18,7 @@
     CHECK_FALSE(window.accept({"a"}, {1}, {6}));
 }
 
-TEST_CASE("a call below the window does not pass, seen or not")
+TEST_CASE("a call below the window is rejected, seen or not")
 {
     ReplayWindow window;
 
@@ -30,7 +30,7 @@
     CHECK_FALSE(window.accept({"a"}, {1}, {ReplayWindow::size + 1}));
 }
 
-TEST_CASE("calls of an earlier life do not pass once a later one is known")
+TEST_CASE("calls of an earlier incarnation are rejected once a later one is known")
 {
     ReplayWindow window;
 
--- a/test/egretlatch/retry/request_key.cpp
+++ b/test/egretlatch/retry/request_key.cpp
@@ -36,7 +36,7 @@
     CHECK_FALSE(RequestKey::parse("el2" + text.substr(3)));
 }
 
-TEST_CASE("a resend has a key of its own, and leads back to the key before")
+TEST_CASE("a resend has its own key, and leads back to the previous key")
 {
     const RequestKey first = internal::minted();
     const RequestKey third = first.next().next();
@@ -48,7 +48,7 @@
     CHECK_FALSE(first.previous());
 }
 
-TEST_CASE("the same inner call of a run that is made again has the same key and owner")
+TEST_CASE("the same inner call of a repeated run has the same key and owner")
 {
     const RequestKey root = internal::minted();
 
@@ -58,7 +58,7 @@
     CHECK(root.derive("append 0").age() == root.age());
 }
 
-TEST_CASE("any text is read without harm")
+TEST_CASE("any text is parsed without a crash")
 {
     CHECK(rc::check([](const std::string &text) {
         static_cast<void>(RequestKey::parse("el1-" + text));
--- a/test/egretlatch/retry/shard_grants.cpp
+++ b/test/egretlatch/retry/shard_grants.cpp
@@ -15,7 +15,7 @@
 namespace internal
 {
 
-// Daemons that share the shards over one table; shards go to the lowest number that is up, in turn.
+// Daemons that share the shards through one table; shards are assigned round robin to the daemons that are up.
 struct Fleet
 {
     explicit Fleet(const int size)
@@ -56,7 +56,7 @@
         }
     }
 
-    // Share of keys minted now that find a living owner that may run them.
+    // Returns the share of keys minted now whose owner is up and may run them.
     [[nodiscard]] double servedShare()
     {
         constexpr int keys = 2000;
@@ -86,7 +86,8 @@
 
 TEST_CASE("callers' own keys are served through an outage of the table of five minutes")
 {
-    // Launches stop being recorded while the platform's store is down: no daemon may begin a key without it.
+    // Guards against refusing requests while the platform's store is down (launches were not recorded): without a grant no
+    // daemon may start a key.
     internal::Fleet fleet{16};
     fleet.run(7min);
     const int before = fleet.table.writes();
@@ -102,7 +103,7 @@
     CHECK(fleet.table.writes() == before);
 }
 
-TEST_CASE("a lost daemon closes its own grants and no others, until they end")
+TEST_CASE("a lost daemon blocks only the keys of its own grants, until they end")
 {
     internal::Fleet fleet{16};
     fleet.run(2min);
@@ -117,7 +118,7 @@
     CHECK(fleet.servedShare() == doctest::Approx(1.0));
 }
 
-TEST_CASE("a daemon that leaves hands its grants on within seconds")
+TEST_CASE("the grants of a daemon that leaves are taken over within a minute")
 {
     internal::Fleet fleet{16};
     fleet.run(2min);
--- a/test/egretlatch/retry/shard_row_input.cpp
+++ b/test/egretlatch/retry/shard_row_input.cpp
@@ -6,7 +6,7 @@
 
 using namespace egretlatch;
 
-TEST_CASE("any text of a row gives intervals in order or none")
+TEST_CASE("any text of a row parses to ordered intervals or is rejected")
 {
     CHECK(rc::check([](const std::string &text) {
         const auto row = retry::ShardRow::parse(text);
@@ -16,7 +16,7 @@
     }));
 }
 
-TEST_CASE("a row with damage gives intervals in order or none")
+TEST_CASE("a corrupted row parses to ordered intervals or is rejected")
 {
     CHECK(rc::check([] {
         const retry::KeyOwner owner{.daemon = {"launch-log-0"}, .incarnation = {7}};
@@ -30,7 +30,7 @@
     }));
 }
 
-TEST_CASE("any answer to a request for the status gives a report or none")
+TEST_CASE("any status document parses to a report or is rejected")
 {
     CHECK(rc::check([](const std::string &text) {
         static_cast<void>(cli::parseReport(QByteArray::fromStdString(text)));
--- a/test/egretlatch/routing/adaptive_router.cpp
+++ b/test/egretlatch/routing/adaptive_router.cpp
@@ -44,7 +44,7 @@
         return router.choose({.service = "roster", .kind = "read", .root = {}, .excluded = {}, .deadline = now + 1s}, now);
     }
 
-    // Makes calls one at a time; `resultOf` says how each ends.
+    // Makes calls one after the other; `resultOf` returns the result of each.
     template<typename ResultOf>
     [[nodiscard]] std::map<std::string, int> makeCalls(const int calls, SteadyTime &now, ResultOf resultOf)
     {
@@ -67,10 +67,10 @@
 
 } // namespace
 
-TEST_CASE("servers that leave are chosen only where no other is left")
+TEST_CASE("draining servers are chosen only if no other server remains")
 {
-    // All requests that lead to a small service fail for seconds. Both of its daemons are being restarted, one a moment after
-    // the other, and from their first word on nobody sent them anything, although their servers went on.
+    // Guards against failing all requests to a small service for seconds while both of its daemons restart shortly after each
+    // other: once they announced that they were draining they got no calls, although their servers still accepted them.
     Fleet fleet;
     fleet.add("one", "dc1");
     fleet.add("two", "dc1");
@@ -90,7 +90,7 @@
     CHECK(!fleet.choose(now).has_value());
 }
 
-TEST_CASE("calls stay in the own data centre while there is room, and spill before they queue")
+TEST_CASE("calls stay in the local data centre while it has free slots, and spill over before they queue")
 {
     Fleet fleet;
     fleet.add("near", "dc1");
@@ -105,10 +105,10 @@
     CHECK(chosen["far"] == 2);
 }
 
-TEST_CASE("a server that fails fast loses its share and is tried again gently")
+TEST_CASE("a server that fails fast loses its share and is ramped up again after it recovers")
 {
-    // One server answers every call with 500 at once. By requests in flight it looks idle, so it would draw most of the
-    // calls and fail them all.
+    // A server that answers every call with 500 at once looks idle by requests in flight. It would attract most of the calls
+    // and fail them all.
     Fleet fleet;
     for (const char *const id : {"bad", "good-1", "good-2"}) {
         fleet.add(id, "dc1");
@@ -131,7 +131,7 @@
     CHECK(afterwards["bad"] > 200);
 }
 
-TEST_CASE("a server that hangs loses its share though callers give up before its deadline")
+TEST_CASE("a server that hangs loses its share even if callers give up before the deadline")
 {
     Fleet fleet;
     for (const char *const id : {"bad", "good-1", "good-2"}) {
@@ -148,10 +148,9 @@
     CHECK(chosen["bad"] < 50);
 }
 
-TEST_CASE("when all servers fail alike none is taken out")
+TEST_CASE("no server is ejected when all fail alike")
 {
-    // A service further down is gone, so every server answers with an error. Taking servers out would only make the rest
-    // fuller.
+    // When a service they depend on is down, all servers answer with errors. Ejecting some would only overload the rest.
     Fleet fleet;
     for (const char *const id : {"one", "two", "three", "four"}) {
         fleet.add(id, "dc1");
@@ -166,9 +165,9 @@
     }
 }
 
-TEST_CASE("a server that comes late gets little at first and its full share after some seconds")
+TEST_CASE("a server that joins late gets few calls at first and its full share after some seconds")
 {
-    // A replaced server has cold caches; given its full share at once it would answer that share late.
+    // A replaced server has cold caches; given its full share at once, it would answer those calls late.
     Fleet fleet;
     fleet.add("old-1", "dc1");
     fleet.add("old-2", "dc1");
@@ -183,7 +182,7 @@
     CHECK(later["new"] > 50);
 }
 
-TEST_CASE("an attempt whose end is never told does not count for ever")
+TEST_CASE("an attempt whose end is never reported expires after its deadline")
 {
     Fleet fleet;
     fleet.add("near", "dc1");
@@ -195,7 +194,7 @@
     CHECK(fleet.choose(start + 3s)->value == "near");
 }
 
-TEST_CASE("a call is not sent again to a daemon that it was tried at")
+TEST_CASE("a call is not sent again to an excluded daemon")
 {
     Fleet fleet;
     fleet.add("one", "dc1");
@@ -205,7 +204,7 @@
     CHECK_FALSE(fleet.router.choose({.service = "other", .kind = "read", .root = {}, .excluded = {}, .deadline = start + 1s}, start).has_value());
 }
 
-TEST_CASE("a subset has the asked size, and a server that leaves changes at most one place of it")
+TEST_CASE("a subset has the requested size, and a server that leaves changes at most one entry of it")
 {
     CHECK(rc::check([](const std::uint32_t seed) {
         std::vector<DaemonId> servers;
@@ -225,10 +224,10 @@
     }));
 }
 
-TEST_CASE("a slow server of the own data centre leaves calls to fast ones elsewhere, and is tried again once it is fast")
+TEST_CASE("a slow local server loses calls to fast remote ones, and is tried again once it is fast")
 {
-    // Callers beside a slow server got most of their answers after the time that their route gives, while fast servers in
-    // other data centres were nearly idle.
+    // Guards against preferring a slow local server: callers in its data centre got most answers after the latency target of
+    // their route, while fast servers in other data centres were nearly idle.
     Fleet fleet;
     fleet.add("near", "dc1");
     fleet.add("far-1", "dc2");
@@ -254,10 +253,10 @@
     CHECK(afterwards["near"] == 100);
 }
 
-TEST_CASE("a server that fails part of its calls leaves them to sound ones while those have room")
+TEST_CASE("a server that fails some of its calls gets few while healthy servers have capacity")
 {
-    // Two servers of four lost a quarter of their answers, too few to be taken out. Calls went on to them as before, and the
-    // bound on what the fleet repeats was used up in a second.
+    // Two servers of four lost a quarter of their answers, too few for ejection. They kept getting calls as before, and the
+    // fleet's retry budget was used up within a second.
     Fleet fleet;
     for (const char *const id : {"bad", "good-1", "good-2"}) {
         fleet.add(id, "dc1");
@@ -273,9 +272,9 @@
     CHECK(chosen["bad"] < 20);
 }
 
-TEST_CASE("large answers are not fetched from afar for a little time")
+TEST_CASE("large answers are not fetched from another data centre for a small gain in latency")
 {
-    // An archive of a megabyte from another data centre costs more on the way than the faster server gains.
+    // Transferring a megabyte from another data centre takes longer than the faster server saves.
     Fleet fleet;
     fleet.add("near", "dc1");
     fleet.add("far", "dc2");
@@ -292,7 +291,7 @@
     CHECK(chosen["near"] == 100);
 }
 
-TEST_CASE("the usual time of a kind follows its answers, and one of many times the usual moves it little")
+TEST_CASE("the average latency of a kind follows its answers, and an outlier moves it little")
 {
     KindAverages averages;
     for (int call = 0; call < 100; ++call) {
@@ -308,7 +307,7 @@
     CHECK(averages.latency("short") < 33ms);
 }
 
-TEST_CASE("what is told of a server loses its weight with time, and its place taken by another it is forgotten")
+TEST_CASE("reports on a server lose weight over time and are removed with the server")
 {
     ServerPaces paces;
     paces.note({"slow"}, {.kind = "read", .own = 300ms, .failing = 0.0}, start);
--- a/test/egretlatch/routing/weighted_targets.cpp
+++ b/test/egretlatch/routing/weighted_targets.cpp
@@ -8,7 +8,7 @@
 using namespace egretlatch;
 using namespace egretlatch::routing;
 
-TEST_CASE("each target gets its share of any run of requests, to within one request")
+TEST_CASE("each target gets its share of any run of requests, to within two requests")
 {
     rc::check("shares follow the weights", [] {
         const int first = *rc::gen::inRange(1, 100);
@@ -27,10 +27,10 @@
     });
 }
 
-TEST_CASE("daemons begin at different places")
+TEST_CASE("daemons start the rotation at different positions")
 {
-    // Each of many daemons gets a few requests of a route. If all began with the heavier target, the lighter one would
-    // get nothing of them at all.
+    // Guards against starving a target: when each of many daemons gets only a few requests of a route and all start with the
+    // heavier target, the lighter one gets none.
     const manifest::RouteSpec route{
         .name = "r", .host = "h", .prefix = "/", .kind = "k", .targets = {{.service = "a", .weight = 90}, {.service = "b", .weight = 10}}};
     int toLighter = 0;
