--- a/src/egretlatch/retry/key_ledger.cpp
+++ b/src/egretlatch/retry/key_ledger.cpp
@@ -37,14 +37,14 @@
 {
 }
 
-KeyLookup KeyLedger::find(const std::string &key, const Age age, const std::uint64_t request) const
+KeyLookup KeyLedger::find(const std::string &key, const Age age, const std::uint64_t requestHash) const
 {
     const auto found = m_entries.find(key);
     if (found == m_entries.end()) {
         return {.state = age <= m_forgottenThrough ? KeyState::forgotten : KeyState::fresh};
     }
     const Entry &entry = found->second;
-    if (entry.request != request) {
+    if (entry.requestHash != requestHash) {
         const Verdict verdict = entry.state == KeyState::closed ? Verdict::notRun : Verdict::mayHaveRun;
         return {.state = KeyState::mismatched, .verdict = verdict};
     }
@@ -52,12 +52,12 @@
     return {.state = entry.state, .answer = answer, .attemptsLeft = entry.attemptsLeft};
 }
 
-void KeyLedger::begin(const std::string &key, const Age age, const std::uint64_t request)
+void KeyLedger::begin(const std::string &key, const Age age, const std::uint64_t requestHash)
 {
     forgetOldest();
     Entry entry;
     entry.age = age;
-    entry.request = request;
+    entry.requestHash = requestHash;
     m_entries.emplace(key, std::move(entry));
 }
 
--- a/src/egretlatch/retry/key_ledger.hpp
+++ b/src/egretlatch/retry/key_ledger.hpp
@@ -99,18 +99,18 @@
      * @brief Looks up a key.
      * @param key The key.
      * @param age Age of the owner when the key was minted.
-     * @param request Hash of the request that was sent with the key.
+     * @param requestHash Hash of the request that was sent with the key.
      * @return State of the key, with the stored answer and the attempts left.
      */
-    [[nodiscard]] KeyLookup find(const std::string &key, Age age, std::uint64_t request) const;
+    [[nodiscard]] KeyLookup find(const std::string &key, Age age, std::uint64_t requestHash) const;
 
     /**
      * @brief Adds a fresh key as running; must be called before its first attempt is sent.
      * @param key The key.
      * @param age Age of the owner when the key was minted.
-     * @param request Hash of the request that was sent with the key.
+     * @param requestHash Hash of the request that was sent with the key.
      */
-    void begin(const std::string &key, Age age, std::uint64_t request);
+    void begin(const std::string &key, Age age, std::uint64_t requestHash);
 
     /**
      * @brief Records the end of a running key.
@@ -136,7 +136,7 @@
     struct Entry
     {
         Age age{};
-        std::uint64_t request{};
+        std::uint64_t requestHash{};
         KeyState state{KeyState::running};
         HeldAnswer answer;
         int attemptsLeft{};
--- a/src/egretlatch/retry/shard_row.hpp
+++ b/src/egretlatch/retry/shard_row.hpp
@@ -37,8 +37,8 @@
 /**
  * @brief Intervals of one shard, stored as a row of the table.
  *
- * Only extend() and truncate() make a new row of an old one, and the row is written on condition that the old one still
- * stands. So intervals never overlap, and one that has been written changes only at its end, by its own owner.
+ * Only extend() and truncate() make a new row of an old one, and the row is written only if the old one is still in the
+ * table. So intervals never overlap, and a written interval changes only at its end, and only through its owner.
  */
 class ShardRow
 {
--- a/src/egretlatch/routing/fwd.hpp
+++ b/src/egretlatch/routing/fwd.hpp
@@ -11,10 +11,10 @@
 
 class Router;
 class AdaptiveRouter;
+class KindAverages;
 class LeastLoadedRouter;
 class ServerPaces;
 class ServerRecord;
-class KindAverages;
 
 } // namespace egretlatch::routing
 
