--- a/src/egretlatch/decision/entry_keys.cpp
+++ b/src/egretlatch/decision/entry_keys.cpp
@@ -75,7 +75,7 @@
     answer.kind = requested.kind;
     if (m_surroundings.manifest == nullptr || m_surroundings.manifest->findKind(requested.service, requested.kind) == nullptr) {
         answer.status = internal::notFoundStatus;
-        answer.mistake = fmt::format("no service and kind {}/{} is declared", requested.service, requested.kind);
+        answer.requestError = fmt::format("no service and kind {}/{} is declared", requested.service, requested.kind);
     } else if (isDraining) {
         // The key's owner would soon be gone, and its requests refused as may-have-run.
         answer.refusal = m_surroundings.refuse(account::RefusalReason::draining, "a daemon that is leaving mints no keys");
--- a/src/egretlatch/decision/serving_handler.cpp
+++ b/src/egretlatch/decision/serving_handler.cpp
@@ -24,7 +24,7 @@
     return std::get<RunFailure>(result) == RunFailure::rejected ? admission::RunOutcome::rejected : admission::RunOutcome::lost;
 }
 
-[[nodiscard]] static protocol::CallAnswer answerOf(const std::variant<RunAnswer, RunFailure> &result, Surroundings &surroundings)
+[[nodiscard]] static protocol::CallAnswer answerOf(const std::variant<RunAnswer, RunFailure> &result, CoreContext &surroundings)
 {
     protocol::CallAnswer answer;
     if (const auto *const given = std::get_if<RunAnswer>(&result)) {
@@ -56,7 +56,7 @@
 
 } // namespace internal
 
-ServingHandler::ServingHandler(Surroundings &surroundings, std::unique_ptr<admission::Gate> gate)
+ServingHandler::ServingHandler(CoreContext &surroundings, std::unique_ptr<admission::Gate> gate)
     : m_surroundings{surroundings}
     , m_gate{std::move(gate)}
 {
@@ -210,7 +210,7 @@
     }
     // A run that failed may have ended before it made all its calls.
     if (outcome == admission::RunOutcome::succeeded) {
-        m_paces.noteEnded(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
+        m_paces.noteCompleted(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
         m_surroundings.entryControl->noteRun({
             .kind = {attempt.request.service, attempt.request.kind},
             .calls = attempt.innerCalls,
@@ -308,7 +308,7 @@
 void ServingHandler::refuseStranger(const Origin &origin, const SteadyTime now)
 {
     protocol::CallAnswer refused;
-    const bool isUnheard = m_surroundings.delivery == Delivery::oneLife;
+    const bool isUnheard = m_surroundings.delivery == Delivery::oneIncarnation;
     refused.verdict = retry::verdictOf(isUnheard ? retry::AttemptEnd::missedEarlierIncarnation : retry::AttemptEnd::meantForEarlierIncarnation);
     refused.refusal = m_surroundings.refuse(account::RefusalReason::serverLost, "the request was meant for an earlier life of this daemon");
     refused.status = account::httpStatus(refused.refusal->reason);
@@ -321,8 +321,8 @@
     answer.call = call;
     answer.receiver = incarnation;
     answer.load = load(now);
-    for (const admission::ServiceNews &news : m_surroundings.entryControl->levelsBelow(m_surroundings.roster.self().service, now)) {
-        answer.levels.push_back({.service = news.service, .level = news.noted.level, .age = now - news.noted.at});
+    for (const admission::ServiceLevelReport &news : m_surroundings.entryControl->downstreamLevels(m_surroundings.roster.self().service, now)) {
+        answer.levels.push_back({.service = news.service, .level = news.reported.level, .age = now - news.reported.at});
     }
     // The way back is the connection that the request came by, so an unknown endpoint does not matter.
     m_surroundings.actions.emplace_back(SendToPeer{.to = daemon, .endpoint = {}, .message = std::move(answer)});
@@ -378,7 +378,7 @@
         return;
     }
     abandoned.verdict = retry::verdictOf(retry::AttemptEnd::aborted);
-    m_paces.noteCutShort(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
+    m_paces.noteAbandoned(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
     m_surroundings.actions.emplace_back(AbortRun{.execution = execution});
     const admission::Observation observation{
         .outcome = admission::RunOutcome::abandoned, .latency = now - *attempt.started, .waitedForInner = attempt.innerWait};
