--- a/src/egretlatch/retry/key_ledger.cpp
+++ b/src/egretlatch/retry/key_ledger.cpp
@@ -17,7 +17,7 @@
     return bytes;
 }
 
-[[nodiscard]] static KeyState standingAfter(const Verdict verdict)
+[[nodiscard]] static KeyState stateAfter(const Verdict verdict)
 {
     switch (verdict) {
     case Verdict::completed:
@@ -37,14 +37,14 @@
 {
 }
 
-KeyLookup KeyLedger::find(const std::string &key, const Age age, const std::uint64_t request) const
+KeyLookup KeyLedger::find(const std::string &key, const Age age, const std::uint64_t requestHash) const
 {
     const auto found = m_entries.find(key);
     if (found == m_entries.end()) {
         return {.state = age <= m_forgottenThrough ? KeyState::forgotten : KeyState::fresh};
     }
     const Entry &entry = found->second;
-    if (entry.request != request) {
+    if (entry.requestHash != requestHash) {
         const Verdict verdict = entry.state == KeyState::closed ? Verdict::notRun : Verdict::mayHaveRun;
         return {.state = KeyState::mismatched, .verdict = verdict};
     }
@@ -52,12 +52,12 @@
     return {.state = entry.state, .answer = answer, .attemptsLeft = entry.attemptsLeft};
 }
 
-void KeyLedger::begin(const std::string &key, const Age age, const std::uint64_t request)
+void KeyLedger::begin(const std::string &key, const Age age, const std::uint64_t requestHash)
 {
     forgetOldest();
     Entry entry;
     entry.age = age;
-    entry.request = request;
+    entry.requestHash = requestHash;
     m_entries.emplace(key, std::move(entry));
 }
 
@@ -68,7 +68,7 @@
         return;
     }
     Entry &entry = found->second;
-    entry.state = internal::standingAfter(verdict);
+    entry.state = internal::stateAfter(verdict);
     entry.attemptsLeft = attemptsLeft;
     m_ended.emplace(entry.age, key);
     if (verdict != Verdict::completed) {
@@ -97,8 +97,8 @@
         if (entry->second.state == KeyState::answered) {
             m_answerBytes -= internal::sizeOf(entry->second.answer);
         }
-        // The key would look fresh to its next resend and run a second time. All keys of its age and older are closed
-        // with it: ages are told by the keys themselves, so this holds for those never seen, too.
+        // A forgotten key would look fresh to its next resend and run a second time, so all keys of its age or older count as
+        // forgotten from now on. The age is part of the key, so this also covers keys that were never seen.
         m_forgottenThrough = std::max(m_forgottenThrough, oldest->first);
         m_entries.erase(entry);
         m_ended.erase(oldest);
--- a/src/egretlatch/retry/ratio_budget.cpp
+++ b/src/egretlatch/retry/ratio_budget.cpp
@@ -5,9 +5,9 @@
 namespace egretlatch::retry
 {
 
-void RatioBudget::setMaxSaved(const double mostSaved)
+void RatioBudget::setMaxSaved(const double maxSaved)
 {
-    m_mostSaved = mostSaved;
+    m_maxSaved = maxSaved;
 }
 
 void RatioBudget::noteFirstAttempt(const std::string &service, const double ratio)
@@ -21,7 +21,7 @@
 bool RatioBudget::take(const std::string &service)
 {
     double &spent = m_spent[service];
-    if (spent + 1.0 > m_mostSaved) {
+    if (spent + 1.0 > m_maxSaved) {
         return false;
     }
     spent += 1.0;
@@ -31,14 +31,14 @@
 void RatioBudget::charge(const std::string &service)
 {
     double &spent = m_spent[service];
-    spent = std::min(spent + 1.0, m_mostSaved + mostOwed);
+    spent = std::min(spent + 1.0, m_maxSaved + maxDebt);
 }
 
 std::map<std::string, double> RatioBudget::left() const
 {
     std::map<std::string, double> left;
     for (const auto &[service, spent] : m_spent) {
-        left.emplace(service, m_mostSaved - spent);
+        left.emplace(service, m_maxSaved - spent);
     }
     return left;
 }
--- a/src/egretlatch/retry/replay_window.cpp
+++ b/src/egretlatch/retry/replay_window.cpp
@@ -18,8 +18,8 @@
         return false;
     }
     if (call.value > window.highest) {
-        const std::uint64_t forgotten = std::min<std::uint64_t>(call.value - window.highest, size);
-        for (std::uint64_t step = 1; step <= forgotten; ++step) {
+        const std::uint64_t advance = std::min<std::uint64_t>(call.value - window.highest, size);
+        for (std::uint64_t step = 1; step <= advance; ++step) {
             window.seen.reset((window.highest + step) % size);
         }
         window.highest = call.value;
--- a/test/egretlatch/routing/adaptive_router.cpp
+++ b/test/egretlatch/routing/adaptive_router.cpp
@@ -44,9 +44,9 @@
         return router.choose({.service = "roster", .kind = "read", .root = {}, .excluded = {}, .deadline = now + 1s}, now);
     }
 
-    // Makes calls one at a time; `resultOf` says how each ends.
+    // Makes calls one after the other; `resultOf` returns the result of each.
     template<typename ResultOf>
-    [[nodiscard]] std::map<std::string, int> callOften(const int calls, SteadyTime &now, ResultOf resultOf)
+    [[nodiscard]] std::map<std::string, int> makeCalls(const int calls, SteadyTime &now, ResultOf resultOf)
     {
         std::map<std::string, int> chosen;
         for (int call = 0; call < calls; ++call) {
@@ -67,10 +67,10 @@
 
 } // namespace
 
-TEST_CASE("servers that leave are chosen only where no other is left")
+TEST_CASE("draining servers are chosen only if no other server remains")
 {
-    // All requests that lead to a small service fail for seconds. Both of its daemons are being restarted, one a moment after
-    // the other, and from their first word on nobody sent them anything, although their servers went on.
+    // Guards against failing all requests to a small service for seconds while both of its daemons restart shortly after each
+    // other: once they announced that they were draining they got no calls, although their servers still accepted them.
     Fleet fleet;
     fleet.add("one", "dc1");
     fleet.add("two", "dc1");
@@ -80,17 +80,17 @@
     const auto answered = [](const DaemonId & /*id*/) {
         return AttemptResult{.outcome = AttemptOutcome::answered, .kind = "read", .latency = 5ms, .load = {}};
     };
-    CHECK(fleet.callOften(20, now, answered) == std::map<std::string, int>{{"two", 20}});
+    CHECK(fleet.makeCalls(20, now, answered) == std::map<std::string, int>{{"two", 20}});
     fleet.members[2].state = membership::MemberState::draining;
     fleet.router.setMembers(fleet.members, now);
-    CHECK(fleet.callOften(20, now, answered).size() == 2);
+    CHECK(fleet.makeCalls(20, now, answered).size() == 2);
     fleet.members[1].state = membership::MemberState::gone;
     fleet.members[2].state = membership::MemberState::gone;
     fleet.router.setMembers(fleet.members, now);
     CHECK(!fleet.choose(now).has_value());
 }
 
-TEST_CASE("calls stay in the own data centre while there is room, and spill before they queue")
+TEST_CASE("calls stay in the local data centre while it has free slots, and spill over before they queue")
 {
     Fleet fleet;
     fleet.add("near", "dc1");
@@ -105,10 +105,10 @@
     CHECK(chosen["far"] == 2);
 }
 
-TEST_CASE("a server that fails fast loses its share and is tried again gently")
+TEST_CASE("a server that fails fast loses its share and is ramped up again after it recovers")
 {
-    // One server answers every call with 500 at once. By requests in flight it looks idle, so it would draw most of the
-    // calls and fail them all.
+    // A server that answers every call with 500 at once looks idle by requests in flight. It would attract most of the calls
+    // and fail them all.
     Fleet fleet;
     for (const char *const id : {"bad", "good-1", "good-2"}) {
         fleet.add(id, "dc1");
@@ -122,23 +122,23 @@
     };
     SteadyTime now = start;
 
-    std::map<std::string, int> whileBroken = fleet.callOften(1000, now, result);
+    std::map<std::string, int> whileBroken = fleet.makeCalls(1000, now, result);
     isBroken = false;
     now += 10s;
-    std::map<std::string, int> afterwards = fleet.callOften(1000, now, result);
+    std::map<std::string, int> afterwards = fleet.makeCalls(1000, now, result);
 
     CHECK(whileBroken["bad"] < 50);
     CHECK(afterwards["bad"] > 200);
 }
 
-TEST_CASE("a server that hangs loses its share though callers give up before its deadline")
+TEST_CASE("a server that hangs loses its share even if callers give up before the deadline")
 {
     Fleet fleet;
     for (const char *const id : {"bad", "good-1", "good-2"}) {
         fleet.add(id, "dc1");
     }
     SteadyTime now = start;
-    std::map<std::string, int> chosen = fleet.callOften(1000, now, [](const DaemonId &id) -> AttemptResult {
+    std::map<std::string, int> chosen = fleet.makeCalls(1000, now, [](const DaemonId &id) -> AttemptResult {
         if (id.value == "bad") {
             return {.outcome = AttemptOutcome::abandoned, .kind = "read", .latency = 300ms, .bytes = 0, .load = std::nullopt};
         }
@@ -148,16 +148,15 @@
     CHECK(chosen["bad"] < 50);
 }
 
-TEST_CASE("when all servers fail alike none is taken out")
+TEST_CASE("no server is ejected when all fail alike")
 {
-    // A service further down is gone, so every server answers with an error. Taking servers out would only make the rest
-    // fuller.
+    // When a service they depend on is down, all servers answer with errors. Ejecting some would only overload the rest.
     Fleet fleet;
     for (const char *const id : {"one", "two", "three", "four"}) {
         fleet.add(id, "dc1");
     }
     SteadyTime now = start;
-    std::map<std::string, int> chosen = fleet.callOften(2000, now, [](const DaemonId &) -> AttemptResult {
+    std::map<std::string, int> chosen = fleet.makeCalls(2000, now, [](const DaemonId &) -> AttemptResult {
         return {.outcome = AttemptOutcome::failed, .kind = "read", .latency = 1ms, .bytes = 0, .load = std::nullopt};
     });
 
@@ -166,24 +165,24 @@
     }
 }
 
-TEST_CASE("a server that comes late gets little at first and its full share after some seconds")
+TEST_CASE("a server that joins late gets few calls at first and its full share after some seconds")
 {
-    // A replaced server has cold caches; given its full share at once it would answer that share late.
+    // A replaced server has cold caches; given its full share at once, it would answer those calls late.
     Fleet fleet;
     fleet.add("old-1", "dc1");
     fleet.add("old-2", "dc1");
     SteadyTime now = start + 10s;
     fleet.add("new", "dc1", now);
 
-    std::map<std::string, int> first = fleet.callOften(100, now, answered);
+    std::map<std::string, int> first = fleet.makeCalls(100, now, answered);
     now += 5s;
-    std::map<std::string, int> later = fleet.callOften(300, now, answered);
+    std::map<std::string, int> later = fleet.makeCalls(300, now, answered);
 
     CHECK(first["new"] == 0);
     CHECK(later["new"] > 50);
 }
 
-TEST_CASE("an attempt whose end is never told does not count for ever")
+TEST_CASE("an attempt whose end is never reported expires after its deadline")
 {
     Fleet fleet;
     fleet.add("near", "dc1");
@@ -195,7 +194,7 @@
     CHECK(fleet.choose(start + 3s)->value == "near");
 }
 
-TEST_CASE("a call is not sent again to a daemon that it was tried at")
+TEST_CASE("a call is not sent again to an excluded daemon")
 {
     Fleet fleet;
     fleet.add("one", "dc1");
@@ -205,7 +204,7 @@
     CHECK_FALSE(fleet.router.choose({.service = "other", .kind = "read", .root = {}, .excluded = {}, .deadline = start + 1s}, start).has_value());
 }
 
-TEST_CASE("a subset has the asked size, and a server that leaves changes at most one place of it")
+TEST_CASE("a subset has the requested size, and a server that leaves changes at most one entry of it")
 {
     CHECK(rc::check([](const std::uint32_t seed) {
         std::vector<DaemonId> servers;
@@ -225,16 +224,16 @@
     }));
 }
 
-TEST_CASE("a slow server of the own data centre leaves calls to fast ones elsewhere, and is tried again once it is fast")
+TEST_CASE("a slow local server loses calls to fast remote ones, and is tried again once it is fast")
 {
-    // Callers beside a slow server got most of their answers after the time that their route gives, while fast servers in
-    // other data centres were nearly idle.
+    // Guards against preferring a slow local server: callers in its data centre got most answers after the latency target of
+    // their route, while fast servers in other data centres were nearly idle.
     Fleet fleet;
     fleet.add("near", "dc1");
     fleet.add("far-1", "dc2");
     fleet.add("far-2", "dc3");
     SteadyTime now = start;
-    const auto tell = [&fleet, &now](const Duration near) {
+    const auto reportPaces = [&fleet, &now](const Duration near) {
         fleet.router.notePaces({"near"}, {{.kind = "read", .own = near, .failing = 0.0}}, now);
         fleet.router.notePaces({"far-1"}, {{.kind = "read", .own = 200ms, .failing = 0.0}}, now);
         fleet.router.notePaces({"far-2"}, {{.kind = "read", .own = 200ms, .failing = 0.0}}, now);
@@ -242,22 +241,22 @@
     const auto result = [](const DaemonId &id) -> AttemptResult {
         return {.outcome = AttemptOutcome::answered, .kind = "read", .latency = id.value == "near" ? 500ms : 200ms, .bytes = 5000, .load = std::nullopt};
     };
-    tell(500ms);
-    std::map<std::string, int> whileSlow = fleet.callOften(100, now, result);
+    reportPaces(500ms);
+    std::map<std::string, int> whileSlow = fleet.makeCalls(100, now, result);
     now += 60s;
-    std::map<std::string, int> unheard = fleet.callOften(100, now, result);
-    tell(200ms);
-    std::map<std::string, int> afterwards = fleet.callOften(100, now, answered);
+    std::map<std::string, int> afterSilence = fleet.makeCalls(100, now, result);
+    reportPaces(200ms);
+    std::map<std::string, int> afterwards = fleet.makeCalls(100, now, answered);
 
     CHECK(whileSlow["near"] == 0);
-    CHECK(unheard["near"] > 0);
+    CHECK(afterSilence["near"] > 0);
     CHECK(afterwards["near"] == 100);
 }
 
-TEST_CASE("a server that fails part of its calls leaves them to sound ones while those have room")
+TEST_CASE("a server that fails some of its calls gets few while healthy servers have capacity")
 {
-    // Two servers of four lost a quarter of their answers, too few to be taken out. Calls went on to them as before, and the
-    // bound on what the fleet repeats was used up in a second.
+    // Two servers of four lost a quarter of their answers, too few for ejection. They kept getting calls as before, and the
+    // fleet's retry budget was used up within a second.
     Fleet fleet;
     for (const char *const id : {"bad", "good-1", "good-2"}) {
         fleet.add(id, "dc1");
@@ -268,14 +267,14 @@
         return answered(id);
     };
 
-    std::map<std::string, int> chosen = fleet.callOften(300, now, result);
+    std::map<std::string, int> chosen = fleet.makeCalls(300, now, result);
 
     CHECK(chosen["bad"] < 20);
 }
 
-TEST_CASE("large answers are not fetched from afar for a little time")
+TEST_CASE("large answers are not fetched from another data centre for a small gain in latency")
 {
-    // An archive of a megabyte from another data centre costs more on the way than the faster server gains.
+    // Transferring a megabyte from another data centre takes longer than the faster server saves.
     Fleet fleet;
     fleet.add("near", "dc1");
     fleet.add("far", "dc2");
@@ -285,40 +284,40 @@
     const auto result = [](const DaemonId &) -> AttemptResult {
         return {.outcome = AttemptOutcome::answered, .kind = "read", .latency = 300ms, .bytes = 1'000'000, .load = std::nullopt};
     };
-    static_cast<void>(fleet.callOften(10, now, result));
+    static_cast<void>(fleet.makeCalls(10, now, result));
 
-    std::map<std::string, int> chosen = fleet.callOften(100, now, result);
+    std::map<std::string, int> chosen = fleet.makeCalls(100, now, result);
 
     CHECK(chosen["near"] == 100);
 }
 
-TEST_CASE("the usual time of a kind follows its answers, and one of many times the usual moves it little")
+TEST_CASE("the average latency of a kind follows its answers, and an outlier moves it little")
 {
-    UsualTimes usual;
+    KindAverages averages;
     for (int call = 0; call < 100; ++call) {
-        usual.note("long", 800ms, 10);
-        usual.note("short", 30ms, 10);
+        averages.note("long", 800ms, 10);
+        averages.note("short", 30ms, 10);
     }
-    CHECK(usual.latency("long") == 800ms);
-    CHECK(usual.latency("short") == 30ms);
-    CHECK(usual.latency("unseen") == 100ms);
+    CHECK(averages.latency("long") == 800ms);
+    CHECK(averages.latency("short") == 30ms);
+    CHECK(averages.latency("unseen") == 100ms);
 
-    usual.note("short", 30s, 10);
+    averages.note("short", 30s, 10);
 
-    CHECK(usual.latency("short") < 33ms);
+    CHECK(averages.latency("short") < 33ms);
 }
 
-TEST_CASE("what is told of a server loses its weight with time, and its place taken by another it is forgotten")
+TEST_CASE("reports on a server lose weight over time and are removed with the server")
 {
     ServerPaces paces;
     paces.note({"slow"}, {.kind = "read", .own = 300ms, .failing = 0.0}, start);
     paces.note({"fast"}, {.kind = "read", .own = 100ms, .failing = 0.0}, start);
 
     CHECK(paces.mean("read") == 200ms);
-    CHECK(paces.excess({"slow"}, "read", start) == 100ms);
-    CHECK(paces.excess({"fast"}, "read", start) == -100ms);
-    CHECK(paces.excess({"slow"}, "read", start + 30s) < 10ms);
-    CHECK(paces.excess({"unknown"}, "read", start) == 0ms);
+    CHECK(paces.excessTime({"slow"}, "read", start) == 100ms);
+    CHECK(paces.excessTime({"fast"}, "read", start) == -100ms);
+    CHECK(paces.excessTime({"slow"}, "read", start + 30s) < 10ms);
+    CHECK(paces.excessTime({"unknown"}, "read", start) == 0ms);
     paces.forget({"slow"});
-    CHECK(paces.excess({"slow"}, "read", start) == 0ms);
+    CHECK(paces.excessTime({"slow"}, "read", start) == 0ms);
 }
