--- a/src/egretlatch/decision/configuration_outlet.cpp
+++ b/src/egretlatch/decision/configuration_outlet.cpp
@@ -14,7 +14,7 @@
     return m_context.askPlatform(std::move(request));
 }
 
-void ConfigurationOutlet::send(const configuration::Peer &peer, configuration::PeerNews news)
+void ConfigurationOutlet::send(const configuration::Peer &peer, configuration::PeerPayload news)
 {
     const auto toMessage = [](auto &payload) {
         return protocol::Message{std::move(payload)};
--- a/src/egretlatch/decision/core.hpp
+++ b/src/egretlatch/decision/core.hpp
@@ -243,7 +243,7 @@
      * @brief Allows the daemon to raise its incarnation, reported by IncarnationRaised, if its previous one supersedes the current one.
      * @return This builder.
      */
-    CoreBuilder &allowRaise();
+    CoreBuilder &allowIncarnationRaise();
 
     /**
      * @brief Enables ownership of timestamped keys through grants in the platform's table; by default the table is not queried.
--- a/src/egretlatch/decision/departure_rumour.cpp
+++ b/src/egretlatch/decision/departure_rumour.cpp
@@ -14,7 +14,7 @@
 membership::Rumour makeDepartureRumour(const DaemonId &daemon, const std::string &instance)
 {
     return {
-        .key = {.kind = membership::RumourKind::departure, .key = membership::keyOf(daemon, instance)},
+        .key = {.kind = membership::RumourKind::departure, .key = membership::daemonRumourKey(daemon, instance)},
         .version = 1,
         .payload = {},
         .remaining = internal::departureLifetime,
@@ -23,7 +23,7 @@
 
 std::optional<std::string> departedInstance(const membership::Rumour &rumour, const DaemonId &daemon)
 {
-    const std::string prefix = membership::keyOf(daemon, {});
+    const std::string prefix = membership::daemonRumourKey(daemon, {});
     if (rumour.key.kind != membership::RumourKind::departure || !rumour.key.key.starts_with(prefix)) {
         return std::nullopt;
     }
--- a/test/egretlatch/decision/entry_rules.cpp
+++ b/test/egretlatch/decision/entry_rules.cpp
@@ -41,7 +41,7 @@
                    .setEntryRules({.countsOnlyArrivals = true, .retrySlack = slack, .traces = false})
                    .build();
         static_cast<void>(core->handle(ManifestChanged{.version = 1, .manifest = rosterManifest()}));
-        static_cast<void>(handleFrom({"left"}, fakes::rosterNews({"left", "middle", "right"}, peerIncarnation)));
+        static_cast<void>(handleFrom({"left"}, fakes::rosterGossip({"left", "middle", "right"}, peerIncarnation)));
         // The tick computes this daemon's part of the fleet's retry slack.
         static_cast<void>(core->handle(Tick{}));
     }
