--- a/src/egretlatch/configuration/follower.cpp
+++ b/src/egretlatch/configuration/follower.cpp
@@ -12,8 +12,8 @@
 {
 
 constexpr std::chrono::milliseconds firstRetry{200};
-constexpr std::chrono::seconds longestFetchWait{4};
-constexpr std::size_t sourcesKept = 8;
+constexpr std::chrono::seconds maxFetchBackoff{4};
+constexpr std::size_t maxSources = 8;
 // Peers that are told what is in force in each interval, so that news reach those that missed the first wave.
 constexpr std::size_t steadyFanout = 2;
 
@@ -29,8 +29,8 @@
     : m_outlet{outlet}
     , m_random{random}
     , m_options{std::move(options)}
-    , m_pollBackoff{internal::firstRetry, m_options.longestPoll}
-    , m_fetchBackoff{internal::firstRetry, internal::longestFetchWait}
+    , m_pollBackoff{internal::firstRetry, m_options.maxPollInterval}
+    , m_fetchBackoff{internal::firstRetry, internal::maxFetchBackoff}
 {
 }
 
@@ -39,7 +39,7 @@
     if (!m_options.hasPlatform) {
         return;
     }
-    if (!m_options.isFed && now >= m_nextPoll && !m_headRequest.has_value()) {
+    if (!m_options.receivesManifests && now >= m_nextPoll && !m_headRequest.has_value()) {
         poll(now);
     }
     if (now >= m_nextAdvert) {
@@ -135,7 +135,7 @@
         m_fetchBackoff.reset();
     }
     const bool isNewSource = source != nullptr && std::find(m_sources.begin(), m_sources.end(), *source) == m_sources.end();
-    if (isNewSource && m_sources.size() < internal::sourcesKept) {
+    if (isNewSource && m_sources.size() < internal::maxSources) {
         m_sources.push_back(*source);
     }
     // A store that hangs must not hold back a daemon that has just found a peer to ask.
@@ -154,10 +154,10 @@
     }
     // Peers and the store in turn: either may be out of reach for long. Where manifests are handed over whole, the store has
     // no turn, and the next peer is asked as soon as one has not answered.
-    const bool isStoresTurn = m_wasPeerAskedLast && !m_options.isFed;
-    if (m_sources.empty() || isStoresTurn) {
+    const bool isTurnOfStore = m_wasPeerAskedLast && !m_options.receivesManifests;
+    if (m_sources.empty() || isTurnOfStore) {
         m_wasPeerAskedLast = false;
-        if (m_options.isFed) {
+        if (m_options.receivesManifests) {
             retryFetch(now);
             return;
         }
@@ -180,7 +180,7 @@
     m_fetchDue = now + m_fetchBackoff.next(m_random);
 }
 
-void Follower::takeBody(const QByteArray &manifest, const DaemonId &bringer, const SteadyTime now)
+void Follower::takeBody(const QByteArray &manifest, const DaemonId &source, const SteadyTime now)
 {
     if (!isBehind()) {
         return;
@@ -202,7 +202,7 @@
     m_inForce = m_target;
     m_manifest = manifest;
     m_sources.clear();
-    m_outlet.putInForce(m_inForce.version, parsed->manifest, bringer);
+    m_outlet.putInForce(m_inForce.version, parsed->manifest, source);
     advertise(m_options.fanout);
 }
 
@@ -246,7 +246,7 @@
 {
     const double seconds = static_cast<double>(m_outlet.peers().size() + 1) / m_options.fleetPollsPerSecond;
     const auto share = std::chrono::duration_cast<Duration>(std::chrono::duration<double>{seconds});
-    m_nextPoll = now + internal::jittered(std::clamp(share, m_options.shortestPoll, m_options.longestPoll), m_random);
+    m_nextPoll = now + internal::jittered(std::clamp(share, m_options.minPollInterval, m_options.maxPollInterval), m_random);
 }
 
 void Follower::advertise(const std::size_t count)
--- a/src/egretlatch/configuration/follower.hpp
+++ b/src/egretlatch/configuration/follower.hpp
@@ -24,11 +24,11 @@
     /*! @brief Without a platform there is nothing to follow. */
     bool hasPlatform{};
     /*! @brief Manifests are handed over whole, by takeAccepted(), so the store is not asked for them. */
-    bool isFed{};
+    bool receivesManifests{};
     /*! @brief Reads of the head row a second by the whole fleet. */
     double fleetPollsPerSecond{10.0};
-    Duration shortestPoll{std::chrono::seconds{2}};
-    Duration longestPoll{std::chrono::seconds{30}};
+    Duration minPollInterval{std::chrono::seconds{2}};
+    Duration maxPollInterval{std::chrono::seconds{30}};
     Duration advertInterval{std::chrono::seconds{1}};
     /*! @brief Peers that are told at once of a new configuration. */
     std::size_t fanout{4};
@@ -41,12 +41,12 @@
 };
 
 /*! @brief What another daemon said it has in force. */
-struct FleetEntry
+struct ReceivedVersion
 {
     std::uint64_t version{};
     SteadyTime heard;
 
-    friend bool operator==(const FleetEntry &, const FleetEntry &) = default;
+    friend bool operator==(const ReceivedVersion &, const ReceivedVersion &) = default;
 };
 
 /**
@@ -135,7 +135,7 @@
      * @brief Gives what others said they have in force.
      * @return By daemon.
      */
-    [[nodiscard]] const std::map<DaemonId, FleetEntry> &fleet() const noexcept
+    [[nodiscard]] const std::map<DaemonId, ReceivedVersion> &fleet() const noexcept
     {
         return m_fleet;
     }
@@ -151,7 +151,7 @@
     void fetch(SteadyTime now);
     void fetchFromStore();
     void retryFetch(SteadyTime now);
-    void takeBody(const QByteArray &manifest, const DaemonId &bringer, SteadyTime now);
+    void takeBody(const QByteArray &manifest, const DaemonId &source, SteadyTime now);
     void takeHead(const store::Outcome &outcome, SteadyTime now);
     void takeObject(const store::Outcome &outcome, SteadyTime now);
     void poll(SteadyTime now);
@@ -178,7 +178,7 @@
     store::Backoff m_fetchBackoff;
     SteadyTime m_nextPoll;
     SteadyTime m_nextAdvert;
-    std::map<DaemonId, FleetEntry> m_fleet;
+    std::map<DaemonId, ReceivedVersion> m_fleet;
 };
 
 } // namespace egretlatch::configuration
--- a/src/egretlatch/decision/configuration_outlet.cpp
+++ b/src/egretlatch/decision/configuration_outlet.cpp
@@ -14,7 +14,7 @@
     return m_surroundings.askPlatform(std::move(request));
 }
 
-void ConfigurationOutlet::send(const configuration::Peer &peer, configuration::PeerNews news)
+void ConfigurationOutlet::send(const configuration::Peer &peer, configuration::PeerPayload news)
 {
     const auto toMessage = [](auto &given) {
         return protocol::Message{std::move(given)};
--- a/src/egretlatch/decision/configuration_outlet.hpp
+++ b/src/egretlatch/decision/configuration_outlet.hpp
@@ -19,7 +19,7 @@
     ConfigurationOutlet(Surroundings &surroundings, std::vector<configuration::Peer> contacts);
 
     [[nodiscard]] store::RequestId ask(store::Request request) override;
-    void send(const configuration::Peer &peer, configuration::PeerNews news) override;
+    void send(const configuration::Peer &peer, configuration::PeerPayload news) override;
     [[nodiscard]] std::vector<configuration::Peer> peers() const override;
     void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &bringer) override;
     void count(std::string_view what) override;
--- a/src/egretlatch/decision/core.hpp
+++ b/src/egretlatch/decision/core.hpp
@@ -243,7 +243,7 @@
      * @brief Lets the daemon go on under a higher incarnation, told by LifeRaised, where its earlier life had one that overrules it.
      * @return This builder.
      */
-    CoreBuilder &allowRaise();
+    CoreBuilder &allowIncarnationRaise();
 
     /**
      * @brief Lets the platform's table tell the owners of keys that carry a time; without this, it is not asked.
--- a/src/egretlatch/decision/core_builder.cpp
+++ b/src/egretlatch/decision/core_builder.cpp
@@ -95,7 +95,7 @@
     return *this;
 }
 
-CoreBuilder &CoreBuilder::allowRaise()
+CoreBuilder &CoreBuilder::allowIncarnationRaise()
 {
     m_mayRaise = true;
     return *this;
@@ -145,7 +145,7 @@
         .lastPlatformRequest = {},
     });
     if (m_mayRaise) {
-        core->m_surroundings->roster.allowRaise();
+        core->m_surroundings->roster.allowIncarnationRaise();
     }
     core->m_serving = std::make_unique<ServingHandler>(*core->m_surroundings, std::move(m_gate));
     std::unique_ptr<retry::ShardGrants> grants;
@@ -162,7 +162,7 @@
     core->m_configurationOutlet = std::make_unique<ConfigurationOutlet>(*core->m_surroundings, std::move(peers));
     configuration::FollowerOptions options;
     options.hasPlatform = m_followsPlatform;
-    options.isFed = m_isFed;
+    options.receivesManifests = m_isFed;
     if (m_isFed) {
         options.fanout = internal::fedFanout;
         options.advertInterval = internal::fedAdvertInterval;
--- a/src/egretlatch/membership/fwd.hpp
+++ b/src/egretlatch/membership/fwd.hpp
@@ -7,7 +7,7 @@
 enum class GossipPurpose;
 enum class MemberState;
 enum class MergeOutcome;
-enum class NewsSource;
+enum class UpdateSource;
 
 struct Contact;
 struct GossipMessage;
@@ -21,12 +21,12 @@
 class ContactBook;
 class Departures;
 class Gossip;
-class NewsQueue;
 class PingRelays;
 class Prober;
 class Roster;
 class RumourStore;
 class StatePull;
+class UpdateQueue;
 
 } // namespace egretlatch::membership
 
--- a/src/egretlatch/membership/prober.hpp
+++ b/src/egretlatch/membership/prober.hpp
@@ -24,7 +24,7 @@
 };
 
 /*! @brief A step of a probe. */
-struct ProbeOrder
+struct ProbeAction
 {
     ProbeStep step{};
     DaemonId target;
@@ -52,7 +52,7 @@
      * @param now Current time.
      * @return What to do now; several steps only where a probe ends and the next begins.
      */
-    [[nodiscard]] std::vector<ProbeOrder> tick(const std::vector<DaemonId> &participants, SteadyTime now);
+    [[nodiscard]] std::vector<ProbeAction> tick(const std::vector<DaemonId> &participants, SteadyTime now);
 
     /**
      * @brief Takes an answer.
--- a/src/egretlatch/membership/rumour_store.cpp
+++ b/src/egretlatch/membership/rumour_store.cpp
@@ -9,20 +9,20 @@
 namespace internal
 {
 
-constexpr std::size_t mostRumours = 512;
+constexpr std::size_t maxRumours = 512;
 
 } // namespace internal
 
 bool RumourStore::add(const Rumour &rumour, const SteadyTime now)
 {
-    if (rumour.payload.size() > largestRumour || rumour.key.key.size() > largestRumour || rumour.remaining < Duration::zero()) {
+    if (rumour.payload.size() > maxRumourBytes || rumour.key.key.size() > maxRumourBytes || rumour.remaining < Duration::zero()) {
         return false;
     }
     const auto found = m_rumours.find(rumour.key);
     if (found != m_rumours.end() && found->second.rumour.version >= rumour.version) {
         return false;
     }
-    if (found == m_rumours.end() && m_rumours.size() >= internal::mostRumours) {
+    if (found == m_rumours.end() && m_rumours.size() >= internal::maxRumours) {
         return false;
     }
     std::optional<SteadyTime> expires;
@@ -57,10 +57,10 @@
     return rumours;
 }
 
-std::vector<Rumour> RumourStore::departuresBeside(const DaemonId &daemon, const SteadyTime now) const
+std::vector<Rumour> RumourStore::departuresOf(const DaemonId &daemon, const SteadyTime now) const
 {
     std::vector<Rumour> rumours;
-    const RumourKey first{.kind = RumourKind::departure, .key = keyOf(daemon, {})};
+    const RumourKey first{.kind = RumourKind::departure, .key = daemonRumourKey(daemon, {})};
     for (auto item = m_rumours.lower_bound(first); item != m_rumours.end(); ++item) {
         if (item->first.kind != first.kind || !item->first.key.starts_with(first.key)) {
             break;
--- a/src/egretlatch/membership/rumour_store.hpp
+++ b/src/egretlatch/membership/rumour_store.hpp
@@ -46,7 +46,7 @@
      * @param now Current time.
      * @return The rumours with the time left to them.
      */
-    [[nodiscard]] std::vector<Rumour> departuresBeside(const DaemonId &daemon, SteadyTime now) const;
+    [[nodiscard]] std::vector<Rumour> departuresOf(const DaemonId &daemon, SteadyTime now) const;
 
     /**
      * @brief Forgets what no longer holds.
--- a/src/egretlatch/sidecar/sidecar.cpp
+++ b/src/egretlatch/sidecar/sidecar.cpp
@@ -133,7 +133,7 @@
     builder.setConfigurationFeed();
     builder.setUnownedKeys(retry::UnownedKeys::notNeeded);
     builder.setDelivery(decision::Delivery::oneLife);
-    builder.allowRaise();
+    builder.allowIncarnationRaise();
     builder.setEntryRules({.countsOnlyArrivals = true, .retrySlack = m_bounds.retrySlack * usedShareOfRetries(), .traces = false});
     builder.setDoorTimes({
         .afterReport = internal::doorShare * m_bounds.drain / internal::hundredths,
