--- a/src/egretlatch/configuration/follower.cpp
+++ b/src/egretlatch/configuration/follower.cpp
@@ -14,7 +14,7 @@
 constexpr std::chrono::milliseconds firstRetry{200};
 constexpr std::chrono::seconds maxFetchBackoff{4};
 constexpr std::size_t maxSources = 8;
-// Peers that are told what is in force in each interval, so that news reach those that missed the first wave.
+// Peers that receive an advert in each interval, so that those that missed the first one after a change get it as well.
 constexpr std::size_t steadyFanout = 2;
 
 [[nodiscard]] static Duration jittered(const Duration span, RandomSource &random)
@@ -64,7 +64,7 @@
         return;
     }
     if (advert.version < m_inForce.version) {
-        // Whoever lags is told at once: a daemon that starts while the platform is down has no other way to learn.
+        // A lagging peer gets a reply at once: a daemon that starts while the platform is down has no other source.
         m_outlet.send(peer, this->advert());
         return;
     }
@@ -138,7 +138,7 @@
     if (isNewSource && m_sources.size() < internal::maxSources) {
         m_sources.push_back(*source);
     }
-    // A store that hangs must not hold back a daemon that has just found a peer to ask.
+    // The first peer that can supply the manifest is asked at once, even if a request to the store is pending: the store may hang.
     const bool isFirstSource = isNewSource && m_sources.size() == 1;
     if (!isSame || isFirstSource) {
         m_objectRequest.reset();
@@ -152,8 +152,8 @@
     if (!isBehind() || m_isUnusable || m_objectRequest.has_value()) {
         return;
     }
-    // Peers and the store in turn: either may be out of reach for long. Where manifests are handed over whole, the store has
-    // no turn, and the next peer is asked as soon as one has not answered.
+    // Alternates between peers and the store, since either may be unreachable for long. Where the caller supplies manifests by
+    // takeAccepted(), the store is skipped, and another peer is asked as soon as one has not answered in time.
     const bool isTurnOfStore = m_wasPeerAskedLast && !m_options.receivesManifests;
     if (m_sources.empty() || isTurnOfStore) {
         m_wasPeerAskedLast = false;
@@ -185,7 +185,7 @@
     if (!isBehind()) {
         return;
     }
-    // Bytes from a peer or the store may be cut, stale or forged; only those that the head row names are taken.
+    // Bytes from a peer or the store may be truncated, stale or forged; only those with the hash in the head row are accepted.
     if (contentHash(manifest) != m_target.hash) {
         m_outlet.count("hash-mismatch");
         retryFetch(now);
@@ -194,7 +194,7 @@
     m_fetchDue.reset();
     const tl::expected<manifest::ParsedManifest, settings::Problems> parsed = manifest::parseManifest(manifest);
     if (!parsed.has_value()) {
-        // Accepted by a newer program than this one: it stays with what it has, and status shows that it lags.
+        // The manifest was accepted by a newer version of the program. The current one stays in force, and status shows the lag.
         m_isUnusable = true;
         m_outlet.count("manifest-not-understood");
         return;
--- a/src/egretlatch/configuration/follower.hpp
+++ b/src/egretlatch/configuration/follower.hpp
@@ -18,21 +18,21 @@
 namespace egretlatch::configuration
 {
 
-/*! @brief How often a Follower asks, and whom. */
+/*! @brief Sources and intervals of a Follower. */
 struct FollowerOptions
 {
-    /*! @brief Without a platform there is nothing to follow. */
+    /*! @brief False disables the follower: without a platform there are no accepted configurations. */
     bool hasPlatform{};
-    /*! @brief Manifests are handed over whole, by takeAccepted(), so the store is not asked for them. */
+    /*! @brief True if takeAccepted() supplies complete manifests, so that the store is not polled or asked for them. */
     bool receivesManifests{};
-    /*! @brief Reads of the head row a second by the whole fleet. */
+    /*! @brief Reads of the head row per second, in total over the fleet. */
     double fleetPollsPerSecond{10.0};
     Duration minPollInterval{std::chrono::seconds{2}};
     Duration maxPollInterval{std::chrono::seconds{30}};
     Duration advertInterval{std::chrono::seconds{1}};
-    /*! @brief Peers that are told at once of a new configuration. */
+    /*! @brief Peers that are notified at once of a new configuration. */
     std::size_t fanout{4};
-    /*! @brief Time that a peer has to send a manifest. */
+    /*! @brief Time limit for a peer to send a manifest. */
     Duration bodyTimeout{std::chrono::milliseconds{500}};
     /*! @brief Address of this daemon's peer socket. */
     std::string endpoint;
@@ -40,7 +40,7 @@
     friend bool operator==(const FollowerOptions &, const FollowerOptions &) = default;
 };
 
-/*! @brief What another daemon said it has in force. */
+/*! @brief Version that another daemon reported as in force, and the time of the report. */
 struct ReceivedVersion
 {
     std::uint64_t version{};
@@ -50,65 +50,65 @@
 };
 
 /**
- * @brief Finds out about newer accepted configurations, fetches them and puts them in force; does no input or output.
+ * @brief Discovers newer accepted configurations, fetches them and puts them in force; performs no I/O.
  *
- * Versions come from the head row, read by this daemon or by one that passes it on; nothing else is ever applied. What
- * is in force only rises.
+ * Versions come from the head row, read by this daemon or by a peer that advertises it; nothing else is ever applied. The
+ * version in force never decreases.
  */
 class Follower
 {
 public:
     /**
-     * @brief Builds a follower with nothing in force.
-     * @param outlet Carries out what it decides; must outlive it.
-     * @param random Source of jitter and of choices; must outlive it.
-     * @param options How often it asks.
+     * @brief Creates a follower with no configuration in force.
+     * @param outlet Performs its requests and messages; must outlive it.
+     * @param random Source of random numbers; must outlive it.
+     * @param options Sources and intervals.
      */
     Follower(Outlet &outlet, RandomSource &random, FollowerOptions options);
 
     /**
-     * @brief Lets it do what is due.
+     * @brief Polls, advertises and retries as far as due.
      * @param now Current time.
      */
     void tick(SteadyTime now);
 
     /**
-     * @brief Takes what a peer has in force.
+     * @brief Handles the advert of a peer.
      * @param sender The peer.
-     * @param advert Its words.
+     * @param advert The configuration that the peer has in force.
      * @param now Current time.
      */
     void handleAdvert(const DaemonId &sender, const Advert &advert, SteadyTime now);
 
     /**
-     * @brief Takes an accepted manifest from where operators submit it.
-     * @param version Its version; one that is not above the one in force is passed over.
-     * @param manifest The whole document.
+     * @brief Handles an accepted manifest that was received directly from the place where operators submit it.
+     * @param version Its version; ignored unless it is above the one in force and not below the newest known.
+     * @param manifest The complete document.
      * @param now Current time.
      */
     void takeAccepted(std::uint64_t version, const QByteArray &manifest, SteadyTime now);
 
     /**
-     * @brief Answers a peer that asks for a manifest.
+     * @brief Handles a peer's request for a manifest.
      * @param sender The peer.
-     * @param request Its words.
+     * @param request The request.
      */
     void handleBodyRequest(const DaemonId &sender, const BodyRequest &request);
 
     /**
-     * @brief Takes a manifest from a peer.
+     * @brief Handles a manifest from a peer.
      * @param sender The peer.
-     * @param reply The manifest.
+     * @param reply The manifest, or an empty one.
      * @param now Current time.
      */
     void handleBodyReply(const DaemonId &sender, const BodyReply &reply, SteadyTime now);
 
     /**
-     * @brief Takes an answer of the platform.
+     * @brief Handles an outcome from the platform.
      * @param id Id of the request.
      * @param outcome The outcome.
      * @param now Current time.
-     * @return False if the request is not one of this follower's.
+     * @return False if the request was not made by this follower.
      */
     bool handleOutcome(store::RequestId id, const store::Outcome &outcome, SteadyTime now);
 
@@ -123,8 +123,8 @@
     }
 
     /**
-     * @brief Gives the newest version that is known to be accepted.
-     * @return Above version() while its manifest is being fetched.
+     * @brief Returns the newest version that is known to be accepted.
+     * @return The version; above version() while its manifest is being fetched or cannot be parsed.
      */
     [[nodiscard]] std::uint64_t newestKnown() const noexcept
     {
@@ -132,8 +132,8 @@
     }
 
     /**
-     * @brief Gives what others said they have in force.
-     * @return By daemon.
+     * @brief Returns the versions that other daemons reported as in force.
+     * @return Reports by daemon.
      */
     [[nodiscard]] const std::map<DaemonId, ReceivedVersion> &fleet() const noexcept
     {
@@ -167,7 +167,7 @@
     Known m_inForce;
     QByteArray m_manifest;
     Known m_target;
-    /*! @brief Peers that said they have the target in force. */
+    /*! @brief Peers that advertised the target version. */
     std::vector<Peer> m_sources;
     bool m_wasPeerAskedLast{};
     bool m_isUnusable{};
--- a/src/egretlatch/configuration/head.hpp
+++ b/src/egretlatch/configuration/head.hpp
@@ -10,17 +10,17 @@
 namespace egretlatch::configuration
 {
 
-/*! @brief One accepted configuration, as the table holds it. */
+/*! @brief Record of one accepted configuration, as stored in the platform's table. */
 struct Head
 {
     std::uint64_t version{};
     /*! @brief contentHash() of the manifest, which is stored under objectName(). */
     std::string hash;
-    /*! @brief Id of the submission, chosen by who submitted. */
+    /*! @brief Id of the submission, chosen by the submitter. */
     std::string submission;
-    /*! @brief Who submitted, in their own words. */
+    /*! @brief Name of the submitter, as given by the submitter. */
     std::string submitter;
-    /*! @brief When it was submitted, by the submitter's clock, to the millisecond. */
+    /*! @brief Time of the submission by the submitter's clock, in milliseconds. */
     WallTime submitted;
 
     friend bool operator==(const Head &, const Head &) = default;
@@ -29,34 +29,34 @@
 /*! @brief Key of the row that holds the newest accepted configuration. */
 inline constexpr const char *headKey = "configuration/head";
 
-/*! @brief Versions before the newest whose rows are kept, to tell a late resubmission how it ended. */
+/*! @brief Number of versions before the newest whose rows are kept, so that a late resubmission can learn its result. */
 inline constexpr std::uint64_t versionsKept = 1000;
 
 /**
- * @brief Gives the key of the row that a version keeps for itself.
+ * @brief Returns the key of a version's own row.
  * @param version The version.
- * @return The key; in the order of the versions.
+ * @return The key; keys sort in the order of the versions.
  */
 [[nodiscard]] std::string versionKey(std::uint64_t version);
 
 /**
- * @brief Gives the name of the object with a manifest.
- * @param hash Its contentHash().
- * @return The name.
+ * @brief Returns the name of the object that holds a manifest.
+ * @param hash contentHash() of the manifest.
+ * @return The name in the object store.
  */
 [[nodiscard]] std::string objectName(const std::string &hash);
 
 /**
- * @brief Puts a head into the value of a row.
+ * @brief Encodes a head as the value of a row.
  * @param head The head.
- * @return JSON.
+ * @return Compact JSON.
  */
 [[nodiscard]] std::string encodeHead(const Head &head);
 
 /**
- * @brief Reads the value of a row.
- * @param value The value; anything may stand there.
- * @return The head, or nothing.
+ * @brief Decodes the value of a row.
+ * @param value The value; may be arbitrary text.
+ * @return The head, or nothing if the value is not a valid one.
  */
 [[nodiscard]] std::optional<Head> decodeHead(const std::string &value);
 
--- a/src/egretlatch/configuration/messages.hpp
+++ b/src/egretlatch/configuration/messages.hpp
@@ -9,19 +9,19 @@
 namespace egretlatch::configuration
 {
 
-/*! @brief Says which configuration a daemon has in force. */
+/*! @brief Advertisement of the configuration that a daemon has in force. */
 struct Advert
 {
-    /*! @brief Zero for none. */
+    /*! @brief Version in force; zero for none. */
     std::uint64_t version{};
     std::string hash;
-    /*! @brief Address of the sender's peer socket, for a receiver that does not know it yet. */
+    /*! @brief Address of the sender's peer socket, for receivers that do not know it yet. */
     std::string endpoint;
 
     friend bool operator==(const Advert &, const Advert &) = default;
 };
 
-/*! @brief Asks for the manifest with a hash. */
+/*! @brief Request for the manifest with a given hash. */
 struct BodyRequest
 {
     std::string hash;
@@ -31,11 +31,11 @@
     friend bool operator==(const BodyRequest &, const BodyRequest &) = default;
 };
 
-/*! @brief A manifest that was asked for. */
+/*! @brief Reply to a BodyRequest. */
 struct BodyReply
 {
     std::string hash;
-    /*! @brief Empty if the sender does not hold it. */
+    /*! @brief The manifest; empty if the sender does not hold it. */
     QByteArray manifest;
 
     friend bool operator==(const BodyReply &, const BodyReply &) = default;
--- a/src/egretlatch/configuration/outlet.hpp
+++ b/src/egretlatch/configuration/outlet.hpp
@@ -15,7 +15,7 @@
 namespace egretlatch::configuration
 {
 
-/*! @brief Another daemon, as far as configuration needs to know it. */
+/*! @brief Id and address of another daemon. */
 struct Peer
 {
     DaemonId id;
@@ -27,43 +27,43 @@
 
 using PeerPayload = std::variant<Advert, BodyRequest, BodyReply>;
 
-/*! @brief What a Follower does to the world around it. */
+/*! @brief Interface by which a Follower sends requests and messages and applies configurations. */
 class Outlet
 {
 public:
     virtual ~Outlet() = default;
 
     /**
-     * @brief Asks the platform.
-     * @param request What is asked.
-     * @return The id that the outcome will carry.
+     * @brief Sends a request to the platform.
+     * @param request The request.
+     * @return Id that the outcome will carry.
      */
     [[nodiscard]] virtual store::RequestId ask(store::Request request) = 0;
 
     /**
-     * @brief Sends a message.
-     * @param peer Who gets it.
-     * @param news The message.
+     * @brief Sends a message to a peer.
+     * @param peer The receiver.
+     * @param message The message.
      */
-    virtual void send(const Peer &peer, PeerPayload news) = 0;
+    virtual void send(const Peer &peer, PeerPayload message) = 0;
 
     /**
-     * @brief Lists the daemons that can be talked to.
-     * @return Any order, without this daemon.
+     * @brief Lists the other daemons that can be reached.
+     * @return The peers in any order, without this daemon.
      */
     [[nodiscard]] virtual std::vector<Peer> peers() const = 0;
 
     /**
      * @brief Puts a configuration in force.
-     * @param version Its version, higher than any before.
+     * @param version Its version, higher than any previous one.
      * @param manifest The manifest.
-     * @param bringer Who sent the manifest; empty if the platform did.
+     * @param source Daemon that sent the manifest; empty if it came from the platform.
      */
     virtual void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &source) = 0;
 
     /**
-     * @brief Counts something that should not happen often.
-     * @param what A few words with dashes.
+     * @brief Counts an irregular event.
+     * @param what Name of the event, in kebab case.
      */
     virtual void count(std::string_view what) = 0;
 };
--- a/src/egretlatch/configuration/report.hpp
+++ b/src/egretlatch/configuration/report.hpp
@@ -11,7 +11,7 @@
 namespace egretlatch::configuration
 {
 
-/*! @brief What another daemon was last heard to have in force. */
+/*! @brief Version that another daemon last reported as in force, and the age of that report. */
 struct ReportedVersion
 {
     DaemonId daemon;
@@ -21,16 +21,16 @@
     friend bool operator==(const ReportedVersion &, const ReportedVersion &) = default;
 };
 
-/*! @brief What one daemon knows of the configurations in force. */
+/*! @brief Configuration in force on one daemon, with the versions that the other daemons reported to it. */
 struct Report
 {
     DaemonId daemon;
-    /*! @brief Zero for none, or for a manifest of the settings. */
+    /*! @brief Version in force; zero for none, or for a manifest from the settings. */
     std::uint64_t version{};
     std::string hash;
-    /*! @brief Newest version known to be accepted; above `version` while the daemon lags. */
+    /*! @brief Newest version that is known to be accepted; above `version` while the daemon lags. */
     std::uint64_t newestKnown{};
-    /*! @brief Other daemons, by id. */
+    /*! @brief Reports of the other daemons, sorted by id. */
     std::vector<ReportedVersion> heard;
 
     friend bool operator==(const Report &, const Report &) = default;
--- a/src/egretlatch/configuration/submission.cpp
+++ b/src/egretlatch/configuration/submission.cpp
@@ -15,7 +15,7 @@
     return error.code == ErrorCode::forbidden || error.code == ErrorCode::malformed;
 }
 
-// An id used again for another manifest names another submission.
+// The same id with a different manifest is a different submission.
 [[nodiscard]] static bool isSame(const Head &one, const Head &other)
 {
     return one.submission == other.submission && one.hash == other.hash;
@@ -84,7 +84,7 @@
     if (m_result.newest < m_request.base) {
         return finish(SubmissionEnd::baseUnknown);
     }
-    // The version after the base may be this very submission, sent by an earlier run whose answer was lost.
+    // The version after the base may be this same submission, written by an earlier run whose response was lost.
     m_stage = m_result.newest > m_request.base ? Stage::readVersion : Stage::putManifest;
     return SubmissionStep::ask;
 }
--- a/src/egretlatch/configuration/submission.hpp
+++ b/src/egretlatch/configuration/submission.hpp
@@ -13,13 +13,13 @@
 namespace egretlatch::configuration
 {
 
-/*! @brief A manifest that somebody wants accepted as the version after `base`. */
+/*! @brief Request to accept a manifest as the version after `base`. */
 struct SubmissionRequest
 {
-    /*! @brief Version that the manifest was made from; zero for the first of all. */
+    /*! @brief Version that the manifest is based on; zero for the first one. */
     std::uint64_t base{};
     QByteArray manifest;
-    /*! @brief Names this submission; the same id again is the same submission. */
+    /*! @brief Identifies this submission; sending the same id and manifest again is idempotent. */
     std::string id;
     std::string submitter;
     WallTime submitted;
@@ -27,68 +27,68 @@
     friend bool operator==(const SubmissionRequest &, const SubmissionRequest &) = default;
 };
 
-/*! @brief How a submission ended. */
+/*! @brief Final result of a submission. */
 enum class SubmissionEnd {
-    /*! @brief The manifest is the version after the base, for ever. */
+    /*! @brief The manifest is the version after the base; this is permanent. */
     accepted,
-    /*! @brief Another submission is the version after the base; this one has no effect and never will. */
+    /*! @brief Another submission became the version after the base; this one has no effect and never will have. */
     conflict,
-    /*! @brief There is no such base yet. */
+    /*! @brief The base version does not exist yet. */
     baseUnknown,
-    /*! @brief The version after the base is too old for its row to be kept. */
+    /*! @brief The version after the base is so old that its row is no longer kept. */
     baseTooOld,
-    /*! @brief The platform does not accept the token, or not the request. */
+    /*! @brief The platform rejected the token or the request, or the head row cannot be parsed. */
     refused,
 };
 
-/*! @brief The end of a submission with what an operator wants to know. */
+/*! @brief Final result of a submission, with details for the operator. */
 struct SubmissionResult
 {
     SubmissionEnd end{};
-    /*! @brief Row of the version after the base: this submission, or the winner. */
+    /*! @brief Row of the version after the base: this submission, or the one that won. */
     std::optional<Head> row;
-    /*! @brief Newest accepted version that was seen; zero if none. */
+    /*! @brief Newest accepted version that was read or written; zero if none. */
     std::uint64_t newest{};
 
     friend bool operator==(const SubmissionResult &, const SubmissionResult &) = default;
 };
 
-/*! @brief How a submission goes on after an outcome. */
+/*! @brief Next step of a submission after an outcome. */
 enum class SubmissionStep {
-    /*! @brief Ask request() at once. */
+    /*! @brief Send request() at once. */
     ask,
-    /*! @brief Ask request() after a backoff. */
+    /*! @brief Send request() after a backoff. */
     askLater,
-    /*! @brief result() tells the end. */
+    /*! @brief The submission has ended; see result(). */
     finished,
 };
 
 /**
- * @brief The steps by which a manifest is accepted; does no input or output.
+ * @brief State machine that submits a manifest for acceptance; performs no I/O.
  *
- * The manifest goes to the object store under its hash; then one transaction moves the head row from the base to the
- * version after it and creates that version's own row, which holds the submission id. The version's row is the witness
- * that resolves a lost answer, also long after the head has moved on.
+ * The manifest is put into the object store under its hash; then one transaction moves the head row from the base to the
+ * next version and creates that version's own row, which holds the submission id. The version's row is the witness that
+ * shows the result when a response is lost, even long after the head has moved on.
  */
 class Submission
 {
 public:
     /**
-     * @brief Builds a submission that has not begun.
-     * @param request What is submitted.
+     * @brief Creates a submission that has not begun.
+     * @param request The manifest and its metadata.
      */
     explicit Submission(SubmissionRequest request);
 
     /**
-     * @brief Gives what to ask the platform next.
+     * @brief Returns the next request to the platform.
      * @return The request.
      */
     [[nodiscard]] store::Request request() const;
 
     /**
-     * @brief Takes the outcome of request().
+     * @brief Handles the outcome of request().
      * @param outcome The outcome.
-     * @return How it goes on.
+     * @return The next step.
      */
     [[nodiscard]] SubmissionStep take(const store::Outcome &outcome);
 
@@ -98,8 +98,8 @@
     }
 
     /**
-     * @brief Tells whether the submission may still be accepted if it is given up now.
-     * @return True from a lost answer until the end is known.
+     * @brief Checks if the submission may still be accepted when it is abandoned now.
+     * @return True from a lost response until the result is known.
      */
     [[nodiscard]] bool isUnsure() const noexcept
     {
--- a/src/egretlatch/membership/contact_book.cpp
+++ b/src/egretlatch/membership/contact_book.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t contactRows = 16;
 constexpr std::chrono::seconds writeInterval{60};
-// A daemon without others reads again this often at first, and twice as rarely each time, up to the last.
+// An isolated daemon reads the rows again after the first interval, which doubles with each read up to the second one.
 constexpr std::chrono::milliseconds minReadInterval{1000};
 constexpr std::chrono::seconds maxReadInterval{10};
 constexpr std::chrono::milliseconds maxFirstWriteDelay{300};
@@ -30,8 +30,8 @@
 std::optional<store::Request> ContactBook::tick(const std::size_t others, const SteadyTime now)
 {
     if (!m_nextWriteTurn.has_value()) {
-        // The first turn comes early, so that a small fleet that starts soon has its rows. One that is alone may be the
-        // first of a fleet that starts all at once, and the others wait for its row.
+        // The first write comes early, so that a small fleet has its rows soon after it starts. An isolated daemon writes even
+        // earlier: it may be the first of a fleet that starts all at once, and the others need its row to find it.
         const Duration latest = others == 0 ? Duration{internal::maxFirstWriteDelay} : Duration{internal::maxReadInterval};
         m_nextWriteTurn = now + Duration{static_cast<Duration::rep>(static_cast<double>(latest.count()) * m_random.fraction())};
     }
--- a/src/egretlatch/membership/contact_book.hpp
+++ b/src/egretlatch/membership/contact_book.hpp
@@ -14,33 +14,34 @@
 {
 
 /**
- * @brief Keeps a few rows in the platform's table by which a newcomer finds the fleet.
+ * @brief Maintains contact rows in the platform's table, by which a new daemon discovers the fleet.
  *
- * The rows are few whatever the size of the fleet, and so are their reads and writes: the more members there are, the
- * less often each takes a turn. Without the store a newcomer has the peers of its settings.
+ * The number of rows is fixed, and the total rate of reads and writes does not grow with the fleet: each daemon writes
+ * with a probability that falls with the number of members. Without the store a new daemon has only the peers in its
+ * settings.
  */
 class ContactBook
 {
 public:
     /**
-     * @brief Builds it; the first read is due at once.
-     * @param self This daemon, as others are to find it.
+     * @brief Creates a contact book; the first read is due at once.
+     * @param self Id and address of this daemon, as published to others.
      * @param random Source of random numbers; must outlive it.
      */
     ContactBook(Contact self, RandomSource &random);
 
     /**
-     * @brief Lets time pass.
-     * @param others Number of other members that take part.
+     * @brief Determines the request that is due, if any.
+     * @param others Number of other members that are not gone.
      * @param now Current time.
-     * @return What to ask the platform, if anything; its outcome goes to handleOutcome().
+     * @return The request to send to the platform; its outcome goes to handleOutcome().
      */
     [[nodiscard]] std::optional<store::Request> tick(std::size_t others, SteadyTime now);
 
     /**
-     * @brief Takes what the platform answered.
-     * @param outcome The rows, or why there are none; a failure is tried again in time.
-     * @return The daemons of the rows, without this one.
+     * @brief Extracts the contacts from the platform's response.
+     * @param outcome The rows, or an error; a failed request is retried by a later tick().
+     * @return The daemons listed in the rows, without this one. Rows that cannot be parsed are skipped.
      */
     [[nodiscard]] std::vector<Contact> handleOutcome(const store::Outcome &outcome) const;
 
--- a/src/egretlatch/membership/departures.hpp
+++ b/src/egretlatch/membership/departures.hpp
@@ -8,25 +8,25 @@
 {
 
 /**
- * @brief The lives of backend servers beside this daemon that have said that they leave; bounded in number.
+ * @brief Set of local backend server incarnations that have announced their departure; bounded, the oldest is dropped first.
  *
- * Such a word binds by the life that it names, whether or not anything else was heard of that life: a heartbeat that was sent
- * before it may come after it.
+ * A departure applies to the incarnation that it names, even if nothing else is known of that incarnation: a heartbeat sent
+ * before the departure may arrive after it.
  */
 class Departures
 {
 public:
     /**
-     * @brief Takes it that a life has said that it leaves.
-     * @param life Name of the life.
-     * @return True if that is news.
+     * @brief Records the departure of an incarnation.
+     * @param incarnation Name of the incarnation.
+     * @return True if the departure was not known before.
      */
     bool note(const std::string &incarnation);
 
     /**
-     * @brief Says whether a life has said that it leaves.
-     * @param life Name of the life.
-     * @return True if it has.
+     * @brief Checks for the departure of an incarnation.
+     * @param incarnation Name of the incarnation.
+     * @return True if its departure has been recorded.
      */
     [[nodiscard]] bool contains(const std::string &incarnation) const;
 
--- a/src/egretlatch/membership/gossip.cpp
+++ b/src/egretlatch/membership/gossip.cpp
@@ -11,11 +11,11 @@
 
 constexpr std::chrono::seconds beatInterval{10};
 constexpr std::chrono::milliseconds spreadInterval{200};
-// One daemon of a small fleet looks this often for one that is gone; of a larger one each looks more rarely, so that the
-// fleet as a whole sends eight such pings a second at most.
+// Interval at which each daemon pings an absent one. It grows with the fleet above the minimum, so that the fleet as a whole
+// sends at most eight such pings a second.
 constexpr std::chrono::milliseconds minAbsentPingInterval{2000};
 constexpr std::chrono::milliseconds absentPingIntervalPerMember{125};
-// While nobody is known. A daemon that starts serves nobody until it is heard, and whoever it pings may be gone.
+// Applies while no other member is known. A new daemon gets no work until others know it, and the contact it pings may be gone.
 constexpr std::chrono::milliseconds joinInterval{300};
 constexpr std::chrono::seconds maxTickGap{2};
 constexpr int spreadTargets = 2;
@@ -47,7 +47,7 @@
 
 void Gossip::handle(const DaemonId &sender, const Incarnation incarnation, const GossipMessage &message, const SteadyTime now)
 {
-    // Looked at first: the message itself is a sign of life that ends the doubt here, but not that of others.
+    // Read before the message is merged: the message ends the suspicion here, but the sender must still refute it elsewhere.
     const std::optional<Suspicion> suspicion = suspicionOf(sender);
     mergeUpdates(sender, message, now);
     if (!message.paces.empty()) {
@@ -77,8 +77,8 @@
 
 void Gossip::tick(const SteadyTime now)
 {
-    // A daemon that was paused, or got no processor, finds its probe past its time on waking although the answer may lie
-    // unread. It would then suspect a live member, so a probe that spans such a gap has no verdict.
+    // A daemon that was paused, or was not scheduled, resumes after the deadline of its probe although the ack may still be
+    // unread. To avoid suspecting a live member, a probe that spans such a gap is dropped without a result.
     if (m_lastTick.has_value() && now - *m_lastTick > internal::maxTickGap) {
         m_prober.reset();
         m_metrics.count("membership", "tick-gap");
@@ -176,7 +176,7 @@
     if (source == UpdateSource::pull) {
         m_statePull.noteNewState();
     }
-    // What a pull brings is old news: passed on, a newcomer would spread the whole fleet anew.
+    // Pulled state is already widespread. If it were passed on, each new daemon would disseminate the whole fleet again.
     if (outcome == MergeOutcome::refuted || source != UpdateSource::pull) {
         queue(id);
     }
@@ -192,7 +192,7 @@
         answer.suspicions.push_back(*suspicion);
     }
     if (const Member *const known = m_roster.find(sender); known != nullptr && known->incarnation > incarnation) {
-        // The sender may not know that an earlier life of it, begun by a clock that was ahead, overrules all that it says.
+        // An earlier incarnation of the sender, started while its clock was ahead, overrides its current entry. It may not know.
         answer.members.push_back(*known);
     }
     addDepartures(answer, sender, now);
@@ -233,7 +233,7 @@
         answer.hasMore = members.size() == internal::membersInPage || rumours.size() == internal::rumoursInPage;
         answer.members.insert(answer.members.end(), members.begin(), members.end());
         answer.rumours.insert(answer.rumours.end(), rumours.begin(), rumours.end());
-        // The other side may know things that this one does not.
+        // The digests differ, so the requester may also hold state that is unknown here.
         if (m_statePull.mayPullBack(now)) {
             m_statePull.begin(sender, now);
         }
@@ -365,9 +365,9 @@
     }
 }
 
-void Gossip::addDepartures(GossipMessage &message, const DaemonId &beside, const SteadyTime now) const
+void Gossip::addDepartures(GossipMessage &message, const DaemonId &daemon, const SteadyTime now) const
 {
-    for (Rumour &rumour : m_rumours.departuresOf(beside, now)) {
+    for (Rumour &rumour : m_rumours.departuresOf(daemon, now)) {
         message.rumours.push_back(std::move(rumour));
     }
 }
@@ -375,7 +375,7 @@
 std::optional<Suspicion> Gossip::suspicionOf(const DaemonId &id) const
 {
     const Member *const member = m_roster.find(id);
-    // Without an entry to tell, the state is this daemon's verdict and not the member's own word.
+    // A member without an announced entry is suspect or gone by this daemon's failure detection, not by its own announcement.
     if (member == nullptr || m_roster.findAnnounced(id) != nullptr) {
         return std::nullopt;
     }
@@ -386,7 +386,7 @@
 {
     const std::vector<DaemonId> &candidates = m_roster.participants();
     std::vector<DaemonId> chosen;
-    // Draws with few repeats: a handful out of many, or all of a few.
+    // Random draws, limited in number: repeats are rare in a large fleet, and a small fleet is mostly covered.
     const std::size_t maxDraws = count * internal::drawsPerChoice;
     for (std::size_t draw = 0; draw < maxDraws && chosen.size() < count && !candidates.empty(); ++draw) {
         const DaemonId &candidate = candidates[m_random.below(candidates.size())];
--- a/src/egretlatch/membership/gossip.hpp
+++ b/src/egretlatch/membership/gossip.hpp
@@ -19,77 +19,77 @@
 namespace egretlatch::membership
 {
 
-/*! @brief What gossip wants of the rest of the daemon. */
+/*! @brief Messages to send and changes to process, as a result of calls to Gossip. */
 struct GossipEffects
 {
     std::vector<OutgoingGossip> messages;
-    /*! @brief Rumours that this daemon did not know. */
+    /*! @brief Received rumours that were new to this daemon. */
     std::vector<Rumour> rumours;
-    /*! @brief What others told of the backend servers beside them. */
+    /*! @brief Paces that other daemons reported for their backend servers. */
     std::vector<std::pair<DaemonId, std::vector<admission::KindPace>>> paces;
     bool haveMembersChanged{};
 };
 
 /**
- * @brief Spreads members and small facts among the daemons, and finds out which of them have died.
+ * @brief Gossip protocol: disseminates membership and rumours among the daemons and detects failed daemons.
  *
- * Does no input or output and reads no clock: messages in, messages out. What a daemon sends in a second is bounded
- * whatever the size of the fleet.
+ * Performs no I/O and reads no clock: it consumes messages and produces messages. The bytes that a daemon sends per second
+ * are bounded independently of the fleet's size.
  */
 class Gossip
 {
 public:
     /**
-     * @brief Builds it.
-     * @param roster The members; changed by it alone; must outlive it.
+     * @brief Creates a gossip instance.
+     * @param roster The members; modified only by this instance; must outlive it.
      * @param random Source of random numbers; must outlive it.
-     * @param metrics Takes counts; must outlive it.
-     * @param contacts Daemons to turn to while no other member is known.
+     * @param metrics Receives event counts; must outlive it.
+     * @param contacts Daemons to ping until they are known as members.
      */
     Gossip(Roster &roster, RandomSource &random, account::MetricsSink &metrics, std::vector<Contact> contacts);
 
     /**
-     * @brief Takes a message.
-     * @param sender Who sent it.
-     * @param incarnation Its life.
+     * @brief Handles a received message.
+     * @param sender Daemon that sent it.
+     * @param incarnation Incarnation of the sender.
      * @param message The message.
      * @param now Current time.
      */
     void handle(const DaemonId &sender, Incarnation incarnation, const GossipMessage &message, SteadyTime now);
 
     /**
-     * @brief Lets time pass.
+     * @brief Runs everything that is due: probes, pulls, dissemination and expiry.
      * @param now Current time.
      */
     void tick(SteadyTime now);
 
     /**
-     * @brief Tells a few members at once that this daemon's own entry changed; they tell the others.
+     * @brief Sends a change of this daemon's own entry to a few members at once; they disseminate it further.
      * @param now Current time.
      */
     void announceSelf(SteadyTime now);
 
     /**
-     * @brief Spreads a small fact.
-     * @param rumour The fact; nothing happens if it is known.
+     * @brief Disseminates a rumour.
+     * @param rumour The rumour; ignored if it is already known.
      * @param now Current time.
      */
     void spread(const Rumour &rumour, SteadyTime now);
 
     /**
-     * @brief Adds daemons to turn to.
-     * @param contacts The daemons; known ones are not added again.
+     * @brief Adds contacts.
+     * @param contacts Daemons to ping until they are known as members; duplicates are ignored.
      */
     void addContacts(const std::vector<Contact> &contacts);
 
     /**
-     * @brief Takes it that the transport lost, or could not open, the connection to a daemon.
+     * @brief Records that the transport lost, or could not open, the connection to a daemon.
      * @param daemon The daemon.
      */
     void noteUnreachable(const DaemonId &daemon);
 
     /**
-     * @brief Takes what there is to do.
+     * @brief Returns and clears the pending effects.
      * @return All effects since the last call.
      */
     [[nodiscard]] GossipEffects takeEffects();
@@ -100,8 +100,8 @@
     }
 
     /**
-     * @brief Sets what goes with each message.
-     * @param paces How fast the backend server beside this daemon is.
+     * @brief Sets the paces that are sent with each message.
+     * @param paces Paces of the local backend server, by kind.
      */
     void setPaces(std::vector<admission::KindPace> paces)
     {
@@ -124,7 +124,7 @@
     void queue(const UpdateSubject &subject);
     [[nodiscard]] GossipMessage makeMessage(GossipPurpose purpose, SteadyTime now);
     void addUpdates(GossipMessage &message, SteadyTime now);
-    void addDepartures(GossipMessage &message, const DaemonId &beside, SteadyTime now) const;
+    void addDepartures(GossipMessage &message, const DaemonId &daemon, SteadyTime now) const;
     [[nodiscard]] std::optional<Suspicion> suspicionOf(const DaemonId &id) const;
     [[nodiscard]] std::vector<DaemonId> chooseParticipants(std::size_t count, const DaemonId &except);
     [[nodiscard]] std::uint64_t digest() const;
--- a/src/egretlatch/membership/gossip_message.hpp
+++ b/src/egretlatch/membership/gossip_message.hpp
@@ -12,59 +12,59 @@
 namespace egretlatch::membership
 {
 
-/*! @brief Why a gossip message is sent. */
+/*! @brief Purpose of a gossip message. */
 enum class GossipPurpose {
-    /*! @brief Carries news and wants no answer. */
+    /*! @brief Carries updates and expects no reply. */
     news,
-    /*! @brief Asks for a sign of life. */
+    /*! @brief Liveness check; the receiver replies with an ack. */
     ping,
-    /*! @brief Answers a ping, or says that the subject of a ping request answered. */
+    /*! @brief Reply to a ping, or to a ping request whose subject sent an ack. */
     ack,
     /*! @brief Asks the receiver to ping a third daemon. */
     pingRequest,
-    /*! @brief Asks for a part of the receiver's state. */
+    /*! @brief Asks for a page of the receiver's state. */
     pullRequest,
-    /*! @brief Answers a pull request. */
+    /*! @brief Reply to a pull request. */
     pullReply,
 };
 
-/*! @brief News of members and of other small facts. */
+/*! @brief Message of the gossip protocol; every message carries membership updates and rumours. */
 struct GossipMessage
 {
     GossipPurpose purpose{GossipPurpose::news};
-    /*! @brief Repeated by the answer. */
+    /*! @brief Number of the request, repeated in the reply. */
     std::uint64_t sequence{};
-    /*! @brief Incarnation of the daemon that an answer is for. */
+    /*! @brief Incarnation of the daemon that a reply is addressed to. */
     Incarnation receiver;
-    /*! @brief The daemon that a ping request is about. */
+    /*! @brief Daemon that the receiver of a ping request should ping. */
     Contact subject;
-    /*! @brief Sum over the sender's state; equal sums need no pull. */
+    /*! @brief Checksum of the sender's state; with equal checksums no state is transferred. */
     std::uint64_t digest{};
-    /*! @brief Part of the state that a pull is about, counted from zero. */
+    /*! @brief Page of the state that a pull asks for or returns, counted from zero. */
     std::uint32_t page{};
-    /*! @brief Whether further parts follow the one in a pull reply. */
+    /*! @brief True in a pull reply if further pages follow. */
     bool hasMore{};
-    /*! @brief The sender's own entry first. */
+    /*! @brief Member entries, the sender's own first. */
     std::vector<Member> members;
     std::vector<Suspicion> suspicions;
     std::vector<Rumour> rumours;
-    /*! @brief How fast the backend server beside the sender is. */
+    /*! @brief Paces of the sender's backend server, by kind. */
     std::vector<admission::KindPace> paces;
 
     friend bool operator==(const GossipMessage &, const GossipMessage &) = default;
 };
 
 /**
- * @brief Tells answers from the rest; an answer goes back by the connection that the question came by.
+ * @brief Distinguishes replies from other messages; a reply is sent over the connection that the request arrived on.
  * @param purpose Purpose of a message.
- * @return True for an answer.
+ * @return True for a reply.
  */
 [[nodiscard]] constexpr bool isReply(const GossipPurpose purpose) noexcept
 {
     return purpose == GossipPurpose::ack || purpose == GossipPurpose::pullReply;
 }
 
-/*! @brief A gossip message on its way out. */
+/*! @brief Gossip message to send, with its destination. */
 struct OutgoingGossip
 {
     Contact to;
--- a/src/egretlatch/membership/member.hpp
+++ b/src/egretlatch/membership/member.hpp
@@ -10,35 +10,35 @@
 namespace egretlatch::membership
 {
 
-/*! @brief What a daemon is known to be doing. */
+/*! @brief State of a member. */
 enum class MemberState {
-    /*! @brief It runs, but its backend server has not announced itself. */
+    /*! @brief The daemon runs, but its backend server has not announced itself. */
     idle,
-    /*! @brief Its backend server takes work. */
+    /*! @brief Its backend server accepts work. */
     serving,
-    /*! @brief Its backend server finishes what runs and takes nothing new. */
+    /*! @brief Its backend server finishes running requests and accepts no new ones. */
     draining,
-    /*! @brief It has not been heard of; it may be down or cut off. */
+    /*! @brief It failed a probe; it may be down or partitioned. */
     suspect,
-    /*! @brief It left, or has been a suspect for too long. */
+    /*! @brief It left, or its suspicion timed out. */
     gone,
 };
 
 /**
- * @brief Gives the name used in reports.
- * @param state The state to name.
+ * @brief Returns the name used in reports.
+ * @param state The state.
  * @return The name of the enumerator.
  */
 [[nodiscard]] std::string_view toString(MemberState state) noexcept;
 
-/*! @brief A daemon and the backend server beside it, as last heard. */
+/*! @brief Latest known entry of a daemon and its backend server. */
 struct Member
 {
     DaemonId id;
     Incarnation incarnation;
-    /*! @brief Grows with each change that the daemon makes to its own entry. */
+    /*! @brief Incremented with each change that the daemon makes to its own entry. */
     std::uint64_t revision{};
-    /*! @brief Grows slowly while the daemon lives, so that later signs of life are told from earlier ones. */
+    /*! @brief Slow heartbeat counter; distinguishes a more recent entry from an older one of the same revision. */
     std::uint64_t beat{};
     MemberState state{MemberState::idle};
     /*! @brief Address of its peer socket, as `tcp://ADDRESS:PORT`. */
@@ -53,18 +53,18 @@
     friend bool operator==(const Member &, const Member &) = default;
 };
 
-/*! @brief A daemon's doubt about another one, refuted by an entry with a higher revision. */
+/*! @brief Suspicion that a daemon has failed; an entry with a higher revision refutes it. */
 struct Suspicion
 {
     DaemonId id;
     Incarnation incarnation;
-    /*! @brief The revision that the doubt is about. */
+    /*! @brief Revision of the entry that is under suspicion. */
     std::uint64_t revision{};
 
     friend bool operator==(const Suspicion &, const Suspicion &) = default;
 };
 
-/*! @brief A daemon to turn to, of which no more is known. */
+/*! @brief Id and address of a daemon, by which it can be contacted before its entry is known. */
 struct Contact
 {
     DaemonId id;
--- a/src/egretlatch/membership/ping_relays.hpp
+++ b/src/egretlatch/membership/ping_relays.hpp
@@ -11,38 +11,38 @@
 namespace egretlatch::membership
 {
 
-/*! @brief A ping made for another daemon. */
+/*! @brief Ping sent on behalf of another daemon. */
 struct PingRelay
 {
     DaemonId requester;
     Incarnation incarnation;
-    /*! @brief Number that the requester gave its ping. */
+    /*! @brief Sequence number of the requester's probe. */
     std::uint64_t sequence{};
 
     friend bool operator==(const PingRelay &, const PingRelay &) = default;
 };
 
-/*! @brief The pings that a daemon made for others and that are not answered yet; each is forgotten after a second. */
+/*! @brief Pings sent on behalf of other daemons that await an ack; each expires after a second. */
 class PingRelays
 {
 public:
     /**
-     * @brief Keeps a ping.
-     * @param sequence Number of the ping that went out.
-     * @param relay For whom it was made.
+     * @brief Adds a relayed ping.
+     * @param sequence Sequence number of the ping that was sent.
+     * @param relay Daemon and probe that it was sent for.
      * @param now Current time.
      */
     void add(std::uint64_t sequence, const PingRelay &relay, SteadyTime now);
 
     /**
-     * @brief Takes out a ping that is answered.
-     * @param sequence Number that the answer names.
-     * @return For whom it was made; nothing if it was this daemon's own, or is forgotten.
+     * @brief Removes a ping that was acknowledged.
+     * @param sequence Sequence number in the ack.
+     * @return Daemon and probe that the ping was sent for; nothing if it was this daemon's own or has expired.
      */
     [[nodiscard]] std::optional<PingRelay> take(std::uint64_t sequence);
 
     /**
-     * @brief Forgets what is too old.
+     * @brief Removes expired pings.
      * @param now Current time.
      */
     void expire(SteadyTime now);
--- a/src/egretlatch/membership/prober.cpp
+++ b/src/egretlatch/membership/prober.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr std::chrono::milliseconds probeInterval{1000};
-// A probe that one lost message could fail would raise doubts in proportion to the fleet, each told to everyone.
+// If one lost message could fail a probe, the number of suspicions would grow with the fleet, and each is sent to every daemon.
 constexpr std::chrono::milliseconds repeatInterval{250};
 
 } // namespace internal
@@ -30,7 +30,7 @@
         actions.push_back({.step = ProbeStep::indirect, .target = m_probe->target, .sequence = m_probe->sequence});
     }
     if (!m_nextProbe.has_value()) {
-        // Daemons that start together must not probe together.
+        // Random offset, so that daemons that start together do not probe in lockstep.
         m_nextProbe = now + std::chrono::duration_cast<Duration>(internal::probeInterval * m_random.fraction());
     }
     if (now < *m_nextProbe) {
@@ -63,7 +63,7 @@
         m_probe->isUnreachable = true;
         return;
     }
-    // A lost connection is the first sign of a death; the round would come to it much later.
+    // A lost connection is the earliest sign of a failure; in its regular place the target would be probed much later.
     if (m_round.empty() || m_round.back() != target) {
         m_round.push_back(target);
     }
@@ -96,8 +96,8 @@
 
 void Prober::addNewcomers(const std::vector<DaemonId> &participants)
 {
-    // Each takes a random place among those still to come. A newcomer that had to wait for the next round could die
-    // unseen until then, which at 750 members is a quarter of an hour for each daemon.
+    // Each new member gets a random place in the rest of the round. If it had to wait for the next round, its failure could
+    // go undetected until then: with 750 members, a quarter of an hour on each daemon.
     for (const DaemonId &participant : participants) {
         if (m_inRound.insert(participant).second) {
             m_round.push_back(participant);
--- a/src/egretlatch/membership/prober.hpp
+++ b/src/egretlatch/membership/prober.hpp
@@ -13,17 +13,17 @@
 namespace egretlatch::membership
 {
 
-/*! @brief What the prober wants done. */
+/*! @brief Step of a probe. */
 enum class ProbeStep {
     /*! @brief Ping the target. */
     direct,
-    /*! @brief Ask other members to ping the target. */
+    /*! @brief Send ping requests for the target to other members. */
     indirect,
-    /*! @brief The target did not answer in any way. */
+    /*! @brief Neither a direct nor an indirect ack arrived. */
     failed,
 };
 
-/*! @brief A step of a probe. */
+/*! @brief Action to carry out for a probe. */
 struct ProbeAction
 {
     ProbeStep step{};
@@ -32,46 +32,46 @@
 };
 
 /**
- * @brief Probes one member after the other, each once a round, each round in an order of its own.
+ * @brief Failure detector that probes members one at a time, each once per round, in a new random order each round.
  *
- * A probe that is not answered is repeated, directly and by helpers, until its time is up. The random order bounds the time to the next probe of each member
- * and keeps daemons from probing the same one at once.
+ * An unacknowledged probe is repeated, directly and through other members, until it times out. The rounds bound the time to
+ * the next probe of each member, and the random order keeps daemons from probing the same member at the same time.
  */
 class Prober
 {
 public:
     /**
-     * @brief Builds a prober.
+     * @brief Creates a prober.
      * @param random Source of random numbers; must outlive it.
      */
     explicit Prober(RandomSource &random);
 
     /**
-     * @brief Lets time pass.
-     * @param participants Members to probe.
+     * @brief Determines the actions that are due.
+     * @param participants Members to probe, sorted.
      * @param now Current time.
-     * @return What to do now; several steps only where a probe ends and the next begins.
+     * @return The actions, in order: repeated direct and indirect pings, or the end of a probe and the start of the next.
      */
     [[nodiscard]] std::vector<ProbeAction> tick(const std::vector<DaemonId> &participants, SteadyTime now);
 
     /**
-     * @brief Takes an answer.
-     * @param sequence The probe that it is for; an old one changes nothing.
+     * @brief Records an ack.
+     * @param sequence Sequence number of the probe; ignored unless it is the current one.
      */
     void noteAck(std::uint64_t sequence);
 
     /**
-     * @brief Takes it that the transport cannot reach a member, so that waiting for its direct answer is of no use.
+     * @brief Records that the transport cannot reach a member: its current probe goes on with indirect pings only, or it is probed next.
      * @param target The member.
      */
     void noteUnreachable(const DaemonId &target);
 
-    /*! @brief Drops the probe at hand without a verdict. */
+    /*! @brief Drops the current probe without a result. */
     void reset();
 
     /**
-     * @brief Gives a number for a ping outside the rounds.
-     * @return A number that no probe has.
+     * @brief Allocates a sequence number for a ping outside the rounds.
+     * @return A number that no probe uses.
      */
     [[nodiscard]] std::uint64_t nextSequence() noexcept
     {
@@ -91,7 +91,7 @@
     void addNewcomers(const std::vector<DaemonId> &participants);
 
     RandomSource &m_random;
-    /*! @brief Members still to be probed in this round, the next one last. */
+    /*! @brief Members that remain to be probed in this round, the next one last. */
     std::vector<DaemonId> m_round;
     std::set<DaemonId> m_inRound;
     std::optional<Probe> m_probe;
--- a/src/egretlatch/membership/roster.cpp
+++ b/src/egretlatch/membership/roster.cpp
@@ -13,7 +13,7 @@
 namespace internal
 {
 
-// A suspect needs time to hear of the doubt and to refute it, and the spread of both grows with the logarithm of the fleet.
+// A suspect needs time to receive the suspicion and to refute it; the time to disseminate either grows with log(fleet size).
 constexpr std::chrono::seconds suspicionUnit{4};
 constexpr std::chrono::hours forgetAfter{6};
 
@@ -62,9 +62,9 @@
     entry.announced.beat = std::max(entry.announced.beat, member.beat);
     const bool isTimedOut = entry.shown.state == MemberState::gone && entry.announced.state != MemberState::gone;
     const bool isSuspectOrGone = isTimedOut || entry.shown.state == MemberState::suspect;
-    // Two regions that were cut off hold each other for gone at the revision that is still in force, and a verdict
-    // overrules an entry of its own revision. Without a way back each member would have to be told and to refute. The
-    // member's own word is such a way, and so is a beat from after the verdict: a daemon that is dead makes none.
+    // After a partition, two regions list each other's members as gone at their current revisions, and a suspicion overrides
+    // an entry of its own revision. So that not every member has to receive and refute a suspicion, two things restore an
+    // entry of the same revision: a message from the member itself, or a later heartbeat, which a dead daemon cannot send.
     if ((source == UpdateSource::member && isSuspectOrGone) || (isTimedOut && hasLaterBeat)) {
         return replace(entry, member, now);
     }
@@ -103,7 +103,7 @@
         noteChanged(m_self.id);
         return MergeOutcome::refuted;
     }
-    // A higher incarnation is the next life of this daemon on another VM: the older life must not overrule it.
+    // A higher incarnation is this daemon's replacement on another VM, which the older incarnation must not override.
     const bool isSameIncarnation = member.incarnation == m_self.incarnation;
     const bool isOverruled = member.revision > m_self.revision;
     if (!isSameIncarnation || !isOverruled) {
@@ -114,8 +114,8 @@
     return MergeOutcome::refuted;
 }
 
-// Incarnations come from the time of day. Where that was set back, a life begins with a lower one than the life before it at
-// this very address, and without a raise nobody would take its word.
+// Incarnations are taken from the wall clock. If the clock was set back, a restarted daemon gets a lower incarnation than its
+// predecessor at the same address, and without a raise its entries would be ignored everywhere.
 bool Roster::isOutrankedByEarlierIncarnation(const Member &member) const
 {
     return m_mayRaiseIncarnation && member.endpoint == m_self.endpoint && member.incarnation > m_self.incarnation;
@@ -201,7 +201,7 @@
 
 const std::vector<DaemonId> &Roster::participants() const
 {
-    // Asked for many times a second and changed seldom.
+    // Cached: read many times a second, and rarely changes.
     if (m_participantsVersion != m_version) {
         m_participantsVersion = m_version;
         m_participants.clear();
@@ -246,7 +246,7 @@
 {
     std::uint64_t sum = internal::digestOf(m_self);
     for (const auto &[id, entry] : m_others) {
-        // What is not told in a pull must not count, or two rosters would never agree.
+        // Entries that a pull does not return are left out, or the digests of two rosters would never match.
         if (findAnnounced(id) != nullptr && entry.announced.state != MemberState::gone) {
             sum += internal::digestOf(entry.announced);
         }
--- a/src/egretlatch/membership/roster.hpp
+++ b/src/egretlatch/membership/roster.hpp
@@ -12,81 +12,81 @@
 namespace egretlatch::membership
 {
 
-/*! @brief How news of a member came. */
+/*! @brief Source of a member's entry. */
 enum class UpdateSource {
-    /*! @brief From the member itself, just now. */
+    /*! @brief Sent by the member itself. */
     member,
-    /*! @brief From another daemon that spreads a change. */
+    /*! @brief Disseminated by another daemon after a change. */
     rumour,
-    /*! @brief From another daemon's state. */
+    /*! @brief Part of another daemon's state, received in a pull reply. */
     pull,
 };
 
-/*! @brief What news of a member led to. */
+/*! @brief Result of merging an entry or a suspicion. */
 enum class MergeOutcome {
-    /*! @brief Nothing that anyone has to be told. */
+    /*! @brief Nothing changed that has to be disseminated. */
     unchanged,
-    /*! @brief The member's entry or liveness changed. */
+    /*! @brief The entry or the state of the member changed. */
     changed,
-    /*! @brief Others doubt this daemon or hold a wrong entry of it; its own entry now overrules theirs. */
+    /*! @brief Others suspect this daemon or hold a wrong entry of it; its own entry now overrides theirs. */
     refuted,
 };
 
 /**
- * @brief The members that one daemon knows of, itself among them.
+ * @brief Membership table of one daemon, itself included.
  *
- * An entry with a higher incarnation, then revision, overrules a lower one. A suspicion overrules an entry of its own
- * revision, so a live daemon refutes it by raising the revision. A suspect that does not is aged: shown as gone and
- * kept, so that regions cut off from each other find their members again.
+ * Entries are ordered by incarnation, then revision; the higher one overrides the lower one. A suspicion overrides an entry
+ * of its own revision, so a live daemon refutes it by raising its revision. A suspect that does not is marked as gone after a
+ * timeout. Its entry is kept for hours, so that partitioned regions find each other's members again.
  */
 class Roster
 {
 public:
     /**
-     * @brief Builds a roster with one member.
+     * @brief Creates a roster with one member.
      * @param self The daemon's own entry.
      */
     explicit Roster(Member self);
 
-    /*! @brief Lets this daemon take a higher incarnation where an earlier life of it at the same address has one. */
+    /*! @brief Allows this daemon to raise its incarnation above that of an earlier one at the same address. */
     void allowIncarnationRaise() noexcept
     {
         m_mayRaiseIncarnation = true;
     }
 
     /**
-     * @brief Takes an entry.
-     * @param member The entry, as the member itself made it.
-     * @param source How it came.
+     * @brief Merges an entry.
+     * @param member The entry, as announced by the member itself.
+     * @param source Source of the entry.
      * @param now Current time.
-     * @return What it led to.
+     * @return Result of the merge.
      */
     MergeOutcome merge(const Member &member, UpdateSource source, SteadyTime now);
 
     /**
-     * @brief Takes a doubt, this daemon's own or another's.
-     * @param suspicion The doubt; one about a life or revision that is past changes nothing.
+     * @brief Merges a suspicion, raised by this daemon or received from another.
+     * @param suspicion The suspicion; ignored if its incarnation or revision is outdated.
      * @param now Current time.
-     * @return What it led to.
+     * @return Result of the merge.
      */
     MergeOutcome suspect(const Suspicion &suspicion, SteadyTime now);
 
     /**
      * @brief Changes the daemon's own entry and raises its revision.
-     * @param state What the daemon does from now on.
+     * @param state New state of the daemon.
      * @param service Service of the backend server.
      * @param slots Slots of the backend server.
      * @param connections Connections of the backend server.
      */
     void updateSelf(MemberState state, const std::string &service, int slots, int connections);
 
-    /*! @brief Raises the beat of the daemon's own entry. */
+    /*! @brief Increments the heartbeat counter of the daemon's own entry. */
     void beat() noexcept;
 
     /**
-     * @brief Ages suspects, and forgets members that have been gone for hours.
+     * @brief Marks timed-out suspects as gone, and removes members that have been gone for hours.
      * @param now Current time.
-     * @return True if a member's state changed.
+     * @return True if a member's state changed or a member was removed.
      */
     bool tick(SteadyTime now);
 
@@ -103,9 +103,10 @@
     [[nodiscard]] const Member *find(const DaemonId &id) const noexcept;
 
     /**
-     * @brief Gives an entry as its member made it, to be told to others.
+     * @brief Finds an entry as announced by its member, to be sent to others.
      * @param id The daemon.
-     * @return The entry, or null if it is unknown or taken for gone without having said so; valid until the next change.
+     * @return The entry, or null if it is unknown, or if it is suspect or gone without having announced that it left; valid until
+     * the next change.
      */
     [[nodiscard]] const Member *findAnnounced(const DaemonId &id) const noexcept;
 
@@ -116,43 +117,44 @@
     [[nodiscard]] std::vector<Member> members() const;
 
     /**
-     * @brief Lists the other members that take part.
-     * @return Their ids, suspects among them, in order; valid until the next change.
+     * @brief Lists the other members that are not gone.
+     * @return Their ids, including suspects, sorted; valid until the next change.
      */
     [[nodiscard]] const std::vector<DaemonId> &participants() const;
 
     /**
-     * @brief Lists the other members that are gone, whether they said so or not.
+     * @brief Lists the other members that are gone, whether they announced it or timed out.
      *
-     * A VM may start its daemon again at the same address. While the store is away, a daemon that has just started learns of
-     * the fleet only by being asked.
-     * @return Their ids, in order.
+     * They are still pinged: a VM may restart its daemon at the same address, and while the store is unavailable a restarted
+     * daemon discovers the fleet only when a member contacts it.
+     * @return Their ids, sorted.
      */
     [[nodiscard]] std::vector<DaemonId> absent() const;
 
     /**
-     * @brief Lists entries to tell another daemon.
-     * @param page Which part, counted from zero.
-     * @param pageSize Entries of a part.
-     * @return Entries as their members made them, by id; gone ones only if they said so themselves.
+     * @brief Lists a page of the entries to send to another daemon.
+     * @param page Number of the page, counted from zero.
+     * @param pageSize Entries per page.
+     * @return Entries as announced by their members, sorted by id; suspects are left out, and gone members unless they announced
+     * that they left.
      */
     [[nodiscard]] std::vector<Member> announcedPage(std::size_t page, std::size_t pageSize) const;
 
     /**
-     * @brief Sums up what is known.
-     * @return A number that two rosters share if they say the same of each member.
+     * @brief Computes a checksum of the announced entries.
+     * @return A number that is equal for two rosters that hold the same entries.
      */
     [[nodiscard]] std::uint64_t digest() const;
 
     /**
-     * @brief Takes the members whose shown entry changed.
-     * @return Their ids since the last call, in the order of the changes; an id may come more than once.
+     * @brief Returns and clears the list of members whose shown entry changed.
+     * @return Their ids since the last call, in the order of the changes; an id may occur more than once.
      */
     [[nodiscard]] std::vector<DaemonId> takeChanged();
 
     /**
-     * @brief Counts changes.
-     * @return A number that grows with each change that members() shows.
+     * @brief Returns the version of the table.
+     * @return A number that grows with each change that is visible in members().
      */
     [[nodiscard]] std::uint64_t version() const noexcept
     {
@@ -162,11 +164,11 @@
 private:
     struct Entry
     {
-        /*! @brief As the member made it. */
+        /*! @brief Entry as announced by the member. */
         Member announced;
-        /*! @brief With the state as this daemon sees it. */
+        /*! @brief The same entry with the state that this daemon attributes to the member. */
         Member shown;
-        /*! @brief When the shown state last changed. */
+        /*! @brief Time of the last change of the shown entry. */
         SteadyTime since;
     };
 
--- a/src/egretlatch/membership/rumour.hpp
+++ b/src/egretlatch/membership/rumour.hpp
@@ -12,24 +12,24 @@
 namespace egretlatch::membership
 {
 
-/*! @brief What a rumour is about; each kind has its own space of keys. */
+/*! @brief Kind of a rumour; each kind has its own key space. */
 enum class RumourKind {
-    /*! @brief Head of the configuration: the version, and its hash as the payload. */
+    /*! @brief Newest configuration: its version, with its hash as the payload. */
     configuration,
-    /*! @brief A backend server that leaves; the key names it and the daemon beside it. */
+    /*! @brief Departure of a backend server; the key names it and its daemon. */
     departure,
-    /*! @brief A request that crashes backend servers; the key is its fingerprint. */
+    /*! @brief Quarantine of a request that crashes backend servers; the key is its fingerprint. */
     quarantine,
 };
 
 /**
- * @brief Gives a kind as text.
+ * @brief Returns the name of a kind.
  * @param kind The kind.
  * @return Its name in metrics.
  */
 [[nodiscard]] std::string_view toString(RumourKind kind) noexcept;
 
-/*! @brief Names a rumour. */
+/*! @brief Identifies a rumour. */
 struct RumourKey
 {
     RumourKind kind{};
@@ -38,29 +38,29 @@
     friend auto operator<=>(const RumourKey &, const RumourKey &) = default;
 };
 
-/*! @brief A small fact that every daemon should know. */
+/*! @brief Small piece of information that is disseminated to every daemon. */
 struct Rumour
 {
     RumourKey key;
-    /*! @brief Of two rumours with one key, the higher version holds. */
+    /*! @brief Of two rumours with the same key, the higher version is valid. */
     std::uint64_t version{};
-    /*! @brief At most `maxRumourBytes` bytes; longer ones are dropped. */
+    /*! @brief At most `maxRumourBytes` bytes; rumours with more are dropped. */
     std::string payload;
-    /*! @brief Time for which it still holds; zero for a rumour that holds until it is replaced. */
+    /*! @brief Remaining time to live; zero for a rumour that is valid until it is replaced. */
     Duration remaining{};
 
     friend bool operator==(const Rumour &, const Rumour &) = default;
 };
 
 /**
- * @brief Makes the key of a rumour about a daemon.
+ * @brief Builds the key of a rumour about a daemon.
  * @param daemon The daemon.
- * @param rest What tells the rumour from others about it.
- * @return The key; with nothing for the rest, what all keys about that daemon begin with.
+ * @param rest Distinguishes the rumour from others about the same daemon.
+ * @return The key; with an empty rest, the common prefix of all keys about that daemon.
  */
 [[nodiscard]] std::string daemonRumourKey(const DaemonId &daemon, const std::string &rest);
 
-/*! @brief Bytes that a rumour's payload has at most. */
+/*! @brief Maximum size of a rumour's payload, and of its key, in bytes. */
 constexpr std::size_t maxRumourBytes = 512;
 
 } // namespace egretlatch::membership
--- a/src/egretlatch/membership/rumour_store.hpp
+++ b/src/egretlatch/membership/rumour_store.hpp
@@ -11,52 +11,52 @@
 namespace egretlatch::membership
 {
 
-/*! @brief The rumours that hold now; bounded in number and size. */
+/*! @brief Store of the rumours that are currently valid; bounded in number and size. */
 class RumourStore
 {
 public:
     /**
-     * @brief Takes a rumour.
+     * @brief Adds a rumour.
      * @param rumour The rumour.
      * @param now Current time.
-     * @return True if it is news; false if it is known, replaced, too large, or there is no room.
+     * @return True if it was added; false if it is already known, outdated or too large, or if the store is full.
      */
     bool add(const Rumour &rumour, SteadyTime now);
 
     /**
      * @brief Finds a rumour.
-     * @param key Its name.
+     * @param key Key of the rumour.
      * @param now Current time.
-     * @return The rumour with the time left to it, or nothing.
+     * @return The rumour with its remaining time to live, or nothing.
      */
     [[nodiscard]] std::optional<Rumour> find(const RumourKey &key, SteadyTime now) const;
 
     /**
-     * @brief Lists a part of the rumours.
-     * @param page Which part, counted from zero.
-     * @param pageSize Rumours of a part.
+     * @brief Lists a page of the rumours.
+     * @param page Number of the page, counted from zero.
+     * @param pageSize Rumours per page.
      * @param now Current time.
-     * @return The rumours with the time left to them.
+     * @return The rumours with their remaining time to live.
      */
     [[nodiscard]] std::vector<Rumour> page(std::size_t page, std::size_t pageSize, SteadyTime now) const;
 
     /**
-     * @brief Lists the departures of backend servers beside a daemon.
+     * @brief Lists the departures of a daemon's backend servers.
      * @param daemon The daemon.
      * @param now Current time.
-     * @return The rumours with the time left to them.
+     * @return The rumours with their remaining time to live.
      */
     [[nodiscard]] std::vector<Rumour> departuresOf(const DaemonId &daemon, SteadyTime now) const;
 
     /**
-     * @brief Forgets what no longer holds.
+     * @brief Removes expired rumours.
      * @param now Current time.
      */
     void expire(SteadyTime now);
 
     /**
-     * @brief Sums up what holds.
-     * @return A number that two stores share if they hold the same versions of the same rumours.
+     * @brief Computes a checksum of the stored rumours.
+     * @return A number that is equal for two stores with the same versions of the same rumours.
      */
     [[nodiscard]] std::uint64_t digest() const;
 
--- a/src/egretlatch/membership/state_pull.cpp
+++ b/src/egretlatch/membership/state_pull.cpp
@@ -71,7 +71,7 @@
 
 void StatePull::noteNewState() noexcept
 {
-    // A pull that brought news is followed soon: daemons that all start at once each know but a few at first.
+    // A pull that returned new state is followed by another soon: in a fleet that starts all at once, each daemon knows only a few.
     m_fastPullsLeft = std::max(m_fastPullsLeft, 1);
 }
 
@@ -80,7 +80,7 @@
     m_pull.reset();
     const std::chrono::seconds interval = m_fastPullsLeft > 0 ? internal::fastPullInterval : internal::pullInterval;
     m_fastPullsLeft = std::max(m_fastPullsLeft - 1, 0);
-    // Between half and one and a half of the interval, so that daemons started together drift apart.
+    // Jitter between 0.5 and 1.5 of the interval, so that daemons that started together do not stay in lockstep.
     m_nextPull = now + std::chrono::duration_cast<Duration>(interval * (0.5 + m_random.fraction()));
 }
 
--- a/src/egretlatch/membership/state_pull.hpp
+++ b/src/egretlatch/membership/state_pull.hpp
@@ -11,7 +11,7 @@
 namespace egretlatch::membership
 {
 
-/*! @brief Ask a member for a part of its state. */
+/*! @brief Request to a member for a page of its state. */
 struct PullRequest
 {
     DaemonId from;
@@ -19,57 +19,57 @@
 };
 
 /**
- * @brief Fetches the state of one other member now and then, part by part at a bounded rate.
+ * @brief Anti-entropy: periodically fetches the state of one other member, page by page at a bounded rate.
  *
- * It repairs what the spread of news missed, and is how a newcomer learns the fleet.
+ * It repairs updates that dissemination missed, and gives a new daemon the state of the fleet.
  */
 class StatePull
 {
 public:
     /**
-     * @brief Builds it; the first pull is due at once.
+     * @brief Creates a state pull; the first pull is due at once.
      * @param random Source of random numbers; must outlive it.
      */
     explicit StatePull(RandomSource &random);
 
     /**
-     * @brief Says whether a new pull should begin.
+     * @brief Checks if a new pull is due.
      * @param now Current time.
-     * @return True if none is under way and the time has come.
+     * @return True if no pull is in progress and the interval has elapsed.
      */
     [[nodiscard]] bool isDue(SteadyTime now) const;
 
     /**
-     * @brief Says whether a pull from a member that is known to differ may begin.
+     * @brief Checks if a pull from a member with a different digest may begin, outside the regular interval.
      * @param now Current time.
-     * @return True if none is under way and the last one is some time ago.
+     * @return True if no pull is in progress and the last one began at least 10 s ago.
      */
     [[nodiscard]] bool mayPullBack(SteadyTime now) const;
 
     /**
      * @brief Begins a pull.
-     * @param from The member to ask.
+     * @param from The member to pull from.
      * @param now Current time.
      */
     void begin(const DaemonId &from, SteadyTime now);
 
     /**
-     * @brief Lets time pass.
+     * @brief Determines the request that is due, and ends a pull that was not answered in time.
      * @param now Current time.
-     * @return The part to ask for now, if any.
+     * @return The page to request, if any.
      */
     [[nodiscard]] std::optional<PullRequest> tick(SteadyTime now);
 
     /**
-     * @brief Takes a part.
-     * @param from Who sent it.
-     * @param page Which part it is; an unexpected one changes nothing.
-     * @param hasMore Whether further parts follow.
+     * @brief Records the receipt of a page.
+     * @param from Member that sent it.
+     * @param page Number of the page; ignored unless it is the requested one.
+     * @param hasMore True if further pages follow.
      * @param now Current time.
      */
     void noteReply(const DaemonId &from, std::uint32_t page, bool hasMore, SteadyTime now);
 
-    /*! @brief Takes it that the pull under way brought something unknown, so that the next one may bring more. */
+    /*! @brief Records that the current pull returned new state, so that the next one follows soon. */
     void noteNewState() noexcept;
 
 private:
@@ -85,7 +85,7 @@
 
     RandomSource &m_random;
     std::optional<Pull> m_pull;
-    /*! @brief Pulls that follow one another soon; some at the start, when the first member asked may know as little. */
+    /*! @brief Pulls left at the shorter interval; some at the start, since the first member asked may know as little as this daemon. */
     int m_fastPullsLeft{3};
     SteadyTime m_nextPull;
     SteadyTime m_lastBegin;
--- a/src/egretlatch/membership/update_queue.hpp
+++ b/src/egretlatch/membership/update_queue.hpp
@@ -11,27 +11,27 @@
 namespace egretlatch::membership
 {
 
-/*! @brief What news is about; what it says is looked up when it is sent, so that it is never out of date. */
+/*! @brief Subject of an update; its content is looked up when it is sent, so that it is never out of date. */
 using UpdateSubject = std::variant<DaemonId, RumourKey>;
 
 /**
- * @brief The news that this daemon still has to pass on, each a bounded number of times.
+ * @brief Queue of updates to disseminate, each a bounded number of times.
  *
- * What has been sent least goes first, so that a flood of news delays itself and not the newest.
+ * Updates that have been sent least go first, so that a burst of updates delays its own repeats and not new updates.
  */
 class UpdateQueue
 {
 public:
     /**
-     * @brief Queues news, from the start if it was queued already.
-     * @param subject What it is about.
-     * @param sends How often it is to be sent.
+     * @brief Queues an update; resets the count if it is already queued.
+     * @param subject Subject of the update.
+     * @param sends Number of messages that it is sent with.
      */
     void add(const UpdateSubject &subject, int sends);
 
     /**
-     * @brief Chooses news for one message and counts it as sent.
-     * @param limit Most subjects to choose.
+     * @brief Selects updates for one message and counts them as sent.
+     * @param limit Maximum number of subjects.
      * @return The subjects, those sent least first.
      */
     [[nodiscard]] std::vector<UpdateSubject> take(std::size_t limit);
