--- a/test/egretlatch/configuration/follower.cpp
+++ b/test/egretlatch/configuration/follower.cpp
@@ -21,7 +21,7 @@
     return QByteArray{R"({"services":[{"name":"roster","slots":)"} + QByteArray::number(slots) + R"(,"connections":100,"kinds":[]}]})";
 }
 
-/*! @brief Keeps what a follower does, for a test to read and to deliver. */
+/*! @brief Records the requests, messages and configurations of a follower. */
 class RecordingOutlet final : public Outlet
 {
 public:
@@ -31,9 +31,9 @@
         return {m_lastRequest};
     }
 
-    void send(const Peer &peer, PeerPayload news) override
+    void send(const Peer &peer, PeerPayload message) override
     {
-        sent.emplace_back(peer, std::move(news));
+        sent.emplace_back(peer, std::move(message));
     }
 
     [[nodiscard]] std::vector<Peer> peers() const override
@@ -41,7 +41,7 @@
         return known;
     }
 
-    void putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId & /*bringer*/) override
+    void putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId & /*source*/) override
     {
         inForce.push_back(version);
         slots = manifest->services().front().slots;
@@ -65,7 +65,7 @@
 
 const store::Outcome down = tl::unexpected{Error{ErrorCode::unavailable, "down"}};
 
-/*! @brief One follower with a platform that can be down. */
+/*! @brief Follower with a platform that can be down. */
 struct Fixture
 {
     explicit Fixture(const std::uint64_t seed = 1)
@@ -74,7 +74,7 @@
     {
     }
 
-    // Lets time pass in small steps; the platform answers at once.
+    // Advances the clock in small steps; the platform answers at once, or with an error if `store` is null.
     void run(const Duration span, standin::PlatformStore *const store)
     {
         constexpr std::chrono::milliseconds step{50};
@@ -125,7 +125,7 @@
 
 } // namespace
 
-TEST_CASE("an accepted configuration is found by the poll and fetched from the store")
+TEST_CASE("an accepted configuration is discovered by polling and fetched from the store")
 {
     standin::PlatformStore store;
     Fixture daemon;
@@ -135,10 +135,10 @@
     CHECK(daemon.outlet.slots == 3);
 }
 
-TEST_CASE("a daemon that starts while the platform is down takes the configuration from a peer")
+TEST_CASE("a daemon that starts while the platform is down gets the configuration from a peer")
 {
-    // After a rack failure with the store down, the new VMs refuse every call, since they have no configuration, although
-    // all their neighbours do.
+    // If VMs that are started after a rack failure while the store is down could not get the configuration from their
+    // peers, they would refuse every call.
     Fixture daemon;
     daemon.outlet.known = {{.id = {"peer"}, .endpoint = "tcp://peer"}};
     daemon.run(std::chrono::seconds{2}, nullptr);
@@ -150,7 +150,7 @@
     CHECK(daemon.outlet.inForce == std::vector<std::uint64_t>{7});
 }
 
-TEST_CASE("who lags is told what is in force, and gets the manifest on request")
+TEST_CASE("a lagging peer receives an advert at once, and the manifest on request")
 {
     standin::PlatformStore store;
     accept(store, 0, makeManifest(3));
@@ -165,10 +165,10 @@
     CHECK(std::get<BodyReply>(daemon.outlet.sent.back().second).manifest == makeManifest(3));
 }
 
-TEST_CASE("bytes of another hash are not taken")
+TEST_CASE("a manifest with a different hash is rejected")
 {
-    // A peer sends a manifest that was cut, or one of its own making. The daemon must not put it in force; it goes on to
-    // ask the store and the peers in turn until the right bytes come.
+    // A peer sends a truncated or forged manifest. The daemon must not put it in force, and must go on asking the store and
+    // the peers in turn until it gets the right bytes.
     standin::PlatformStore store;
     accept(store, 0, makeManifest(3));
     Fixture daemon;
@@ -181,7 +181,7 @@
     CHECK(daemon.outlet.slots == 3);
 }
 
-TEST_CASE("a peer that does not send the manifest is given up for the store, and the other way round")
+TEST_CASE("the follower turns to the store when a peer does not send the manifest, and to a peer when the store is down")
 {
     standin::PlatformStore store;
     accept(store, 0, makeManifest(3));
@@ -196,10 +196,10 @@
     CHECK(storeDown.bodyRequests() >= 2);
 }
 
-TEST_CASE("what is in force only rises, whatever comes late")
+TEST_CASE("the version in force never decreases when older versions arrive late")
 {
-    // A daemon that was cut off comes back and offers an old version; answers of the platform arrive out of order. A limit
-    // that an operator lowered would be raised again.
+    // A daemon returns from a partition and advertises an old version, or responses of the platform arrive out of order. If
+    // the old version were applied, a limit that an operator lowered would be raised again.
     standin::PlatformStore store;
     accept(store, 0, makeManifest(3));
     accept(store, 1, makeManifest(4));
@@ -213,7 +213,7 @@
     CHECK(daemon.outlet.slots == 4);
 }
 
-TEST_CASE("a manifest that this program does not understand is left alone, and fetched once")
+TEST_CASE("a manifest that cannot be parsed is not applied, and fetched only once")
 {
     standin::PlatformStore store;
     accept(store, 0, "{\"of\":\"a newer program\"}");
@@ -224,7 +224,7 @@
     CHECK(daemon.follower.newestKnown() == 1);
 }
 
-TEST_CASE("the fleet reads the head row at a rate that does not grow with it")
+TEST_CASE("the fleet's rate of head row reads does not grow with its size")
 {
     constexpr std::size_t daemons = 300;
     constexpr std::chrono::seconds span{60};
@@ -241,7 +241,7 @@
     CHECK(reads * daemons / span.count() <= 20);
 }
 
-TEST_CASE("a platform that is down is asked less and less, and not for ever less")
+TEST_CASE("polls of an unavailable platform back off up to a maximum interval")
 {
     Fixture daemon;
     std::size_t reads = 0;
--- a/test/egretlatch/configuration/submission.cpp
+++ b/test/egretlatch/configuration/submission.cpp
@@ -54,10 +54,10 @@
     CHECK(object.bytes == request.manifest);
 }
 
-TEST_CASE("a submission ends the same whichever of its answers is lost")
+TEST_CASE("a submission has the same result whichever of its responses is lost")
 {
-    // A pipeline submits, the platform's answer is lost, and the pipeline reports a failure of a change that is in force,
-    // or submits it twice as two versions. Each of the requests of a submission loses its answer, or the request, here.
+    // After a lost response, a deployment pipeline could report a failure for a change that is in force, or submit it twice
+    // as two versions. Here each request of a submission is lost in turn, or its response, or the platform is down.
     for (const fakes::Fate fate : {fakes::Fate::answerLost, fakes::Fate::requestLost, fakes::Fate::down}) {
         for (std::size_t position = 0; position < requestsOfASubmission; ++position) {
             standin::PlatformStore store;
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE("the same submission again is the same version, also after newer ones")
+TEST_CASE("resubmitting the same submission yields the same version, even after newer ones")
 {
     standin::PlatformStore store;
     CHECK(run(store, makeRequest(0, "first")).code == cli::ExitCode::success);
@@ -79,7 +79,7 @@
     CHECK(readHead(store).submission == "second");
 }
 
-TEST_CASE("an id used again for another manifest is told a conflict")
+TEST_CASE("an id reused for a different manifest gets a conflict")
 {
     standin::PlatformStore store;
     CHECK(run(store, makeRequest(0, "first")).code == cli::ExitCode::success);
@@ -88,7 +88,7 @@
     CHECK(run(store, other).code == cli::ExitCode::conflict);
 }
 
-TEST_CASE("a submission that is given up while unsure says so and can be gone on with")
+TEST_CASE("a submission abandoned while its result is unknown reports this and can be resumed")
 {
     standin::PlatformStore store;
     std::deque<fakes::Fate> fates{fakes::Fate::answered, fakes::Fate::answered, fakes::Fate::answerLost};
@@ -105,10 +105,10 @@
     CHECK(std::get<store::RowsReply>(*store.apply(store::TableRead{.key = headKey})).rows.empty());
 }
 
-TEST_CASE("operators who race have one winner for each version, and none is told wrong")
+TEST_CASE("concurrent submissions have one winner per version and get correct results")
 {
-    // Two operators change the manifest at once and both are told that theirs is in force; or one's change is silently
-    // undone by the other's. Steps of several submissions are interleaved here, with answers lost and requests delayed.
+    // Two operators could submit at the same time and both be told that theirs is in force, or one could silently undo the
+    // other's change. Here steps of several submissions are interleaved, with lost responses and delayed requests.
     CHECK(rc::check([](const std::uint64_t seed) {
         SeededRandom random{seed};
         standin::PlatformStore store;
--- a/test/egretlatch/membership/contact_book.cpp
+++ b/test/egretlatch/membership/contact_book.cpp
@@ -18,7 +18,7 @@
     int writes{};
 };
 
-// Lets a fleet of a size go on for ten minutes.
+// Counts the requests of a fleet of the given size in ten minutes.
 [[nodiscard]] Counts countRequests(const std::size_t daemons)
 {
     Counts counts;
@@ -36,10 +36,10 @@
 
 } // namespace
 
-TEST_CASE("the writes of contact rows do not grow with the fleet")
+TEST_CASE("the number of contact row writes does not grow with the fleet")
 {
-    // Cause of concern: 750 daemons that each refresh a row would take a share of the store's writes from configurations
-    // and key grants, and the more so the larger the fleet.
+    // If each of 750 daemons refreshed a row, the writes would compete with configurations and key grants for the store's
+    // capacity, and more so in a larger fleet.
     const Counts small = countRequests(16);
     const Counts large = countRequests(750);
     MESSAGE("writes in ten minutes: ", small.writes, " at 16 daemons, ", large.writes, " at 750");
@@ -47,7 +47,7 @@
     CHECK(large.reads == 0);
 }
 
-TEST_CASE("a daemon that is alone reads the rows at once and again, and takes what is usable")
+TEST_CASE("an isolated daemon reads the rows at once and again later, and skips rows that it cannot parse")
 {
     SeededRandom random{seed};
     ContactBook book{{.id = {"self"}, .endpoint = "tcp://10.0.0.1:1"}, random};
--- a/test/egretlatch/membership/gossip.cpp
+++ b/test/egretlatch/membership/gossip.cpp
@@ -32,7 +32,7 @@
     network.run(15s);
 }
 
-// Whether a daemon still holds a member for one that takes work; a suspect gets none either.
+// Checks if any daemon still lists the member as serving and would send it work; a suspect gets none.
 [[nodiscard]] bool isServingForAny(const GossipNetwork &network, const std::size_t subject)
 {
     for (std::size_t observer = 0; observer < network.size(); ++observer) {
@@ -51,14 +51,14 @@
 
 } // namespace
 
-TEST_CASE("daemons that start together, knowing three of them, find one another")
+TEST_CASE("daemons that start together with three contacts discover each other")
 {
     GossipNetwork network{40, seed};
     waitForConvergence(network);
     CHECK(network.hasConverged());
 }
 
-TEST_CASE("a newcomer is known everywhere and knows everyone")
+TEST_CASE("a new daemon discovers all members and is discovered by all")
 {
     GossipNetwork network{40, seed};
     waitForConvergence(network);
@@ -72,10 +72,10 @@
     CHECK((network.observedState(newcomer, 0) == MemberState::serving));
 }
 
-TEST_CASE("a drain is known everywhere within seconds, with a third of the messages lost")
+TEST_CASE("all daemons learn of a drain within seconds with a third of the messages lost")
 {
-    // Callers are refused again and again by a backend server that is being replaced. It said that it drains, but the
-    // network loses messages, and daemons that missed the word go on sending it work.
+    // Daemons that miss the message of a draining backend server would go on sending it work, and its callers would be
+    // refused again and again while it is being replaced.
     GossipNetwork network{40, seed};
     waitForConvergence(network);
     network.setLoss(0.3);
@@ -88,9 +88,9 @@
     CHECK(took.has_value());
 }
 
-TEST_CASE("a dead daemon is a suspect everywhere within seconds and gone soon after")
+TEST_CASE("a failed daemon is suspected by all within seconds and gone soon after")
 {
-    // Calls time out at one server of several. Its VM failed without a word, and nobody may go on sending work there.
+    // A VM fails without an announcement. While other daemons send it work, calls time out at one server of several.
     GossipNetwork network{40, seed};
     waitForConvergence(network);
     network.kill(5);
@@ -108,10 +108,10 @@
     CHECK(aged.has_value());
 }
 
-TEST_CASE("a daemon that is told of others in the middle of its search asks them at once")
+TEST_CASE("an isolated daemon pings new contacts at once")
 {
-    // A VM was added and its daemon got callers before it knew a single server: the store named the others 0.1 s after its
-    // start, and it looked at the list at the next second.
+    // A new daemon received calls before it knew any server: the store returned contacts 0.1 s after its start, but it
+    // pinged them only at the next full second.
     egretlatch::membership::Member self;
     self.id = {"fresh"};
     self.incarnation = {1};
@@ -129,10 +129,10 @@
     CHECK(gossip.takeEffects().messages.size() == 1);
 }
 
-TEST_CASE("a newcomer that dies at once is found dead within seconds")
+TEST_CASE("a new daemon that fails right after joining is suspected within seconds")
 {
-    // A VM comes up, is known everywhere and fails a second later. Each daemon chose the order of its probes before it
-    // came, and would come to it only in its next round.
+    // A VM joins, is known everywhere and fails within seconds. Each daemon chose its probe order before the VM joined, and
+    // would otherwise probe it only in the next round.
     GossipNetwork network{40, seed};
     waitForConvergence(network);
     const std::size_t newcomer = network.add();
@@ -147,10 +147,10 @@
     CHECK(suspected.has_value());
 }
 
-TEST_CASE("a rack that fails at once leaves the rest whole")
+TEST_CASE("a rack that fails at once is detected, and the remaining daemons still see each other as serving")
 {
-    // Eight of forty VMs go with a switch. The rest must find all eight dead, and must not suspect one another although
-    // many of their helpers for indirect probes are among the dead.
+    // Eight of forty VMs fail with a switch. The others must detect all eight, and must not suspect each other although many
+    // of the members asked for indirect probes are among the failed ones.
     GossipNetwork network{40, seed};
     waitForConvergence(network);
     for (std::size_t index = 8; index < 16; ++index) {
@@ -169,17 +169,17 @@
     CHECK(network.hasConverged());
 }
 
-TEST_CASE("a live daemon refutes a doubt that one lossy link raised")
+TEST_CASE("a live daemon refutes a suspicion that was raised over one lossy link")
 {
-    // A server vanishes from the routing of the whole fleet because one daemon has a bad link to it. The doubt spreads,
-    // the suspect hears of it, raises its revision, and is served again.
+    // One daemon with a bad link to a server would otherwise remove it from the routing of the whole fleet. The suspicion is
+    // disseminated, the suspect receives it, raises its revision and gets work again.
     GossipNetwork network{20, seed};
     waitForConvergence(network);
     const auto *const member = network.node(0).roster.find({"d009"});
-    egretlatch::membership::GossipMessage doubt;
-    doubt.members = {network.node(0).roster.self()};
-    doubt.suspicions = {{.id = member->id, .incarnation = member->incarnation, .revision = member->revision}};
-    network.node(1).gossip.handle({"d000"}, {1}, doubt, network.now());
+    egretlatch::membership::GossipMessage message;
+    message.members = {network.node(0).roster.self()};
+    message.suspicions = {{.id = member->id, .incarnation = member->incarnation, .revision = member->revision}};
+    network.node(1).gossip.handle({"d000"}, {1}, message, network.now());
     CHECK((network.observedState(1, 9) == MemberState::suspect));
     const auto took = network.runUntil(
         [&network] {
@@ -190,9 +190,9 @@
     CHECK(network.node(9).roster.self().revision > 0);
 }
 
-TEST_CASE("nobody dies of losing a third of all messages")
+TEST_CASE("no live daemon stays suspect or gone after a third of all messages was lost")
 {
-    // With a third of all messages lost many probes fail. Daemons are suspected and refute; none may be left for gone.
+    // With a third of all messages lost, many probes fail. Daemons are suspected and refute; none may remain gone.
     GossipNetwork network{30, seed};
     waitForConvergence(network);
     network.setLoss(0.3);
@@ -206,10 +206,10 @@
     CHECK(took.has_value());
 }
 
-TEST_CASE("a paused daemon that wakes learns that it was suspected, and refutes")
+TEST_CASE("a paused daemon that resumes learns that it was suspected, and refutes")
 {
-    // A VM is paused for half a minute and then reads what was sent meanwhile. The fleet holds it for gone and sends it
-    // no work, while it believes that all is well; it must also not suspect others for the answers that it slept through.
+    // A VM is paused for half a minute and then reads the messages sent meanwhile. The fleet lists it as gone and sends it no
+    // work, which it must learn. It must also not suspect others whose acks it did not read during the pause.
     GossipNetwork network{20, seed};
     waitForConvergence(network);
     network.setRunning(4, false);
@@ -226,10 +226,10 @@
     CHECK(network.node(4).metrics.value("membership/probe-failed") <= 1);
 }
 
-TEST_CASE("a VM replaced under its id takes the place of its earlier life")
+TEST_CASE("a VM replaced under the same id overrides its earlier incarnation")
 {
-    // A VM is replaced while the fleet still believes in the old one. The new life starts at revision zero and must
-    // overrule what is known; the old one, if it was only paused, must not overrule the new one when it wakes.
+    // A VM is replaced while the fleet still lists the old one. The new incarnation starts at revision zero and must override
+    // the known entry; the old one, if it was only paused, must not override the new one when it resumes.
     GossipNetwork network{20, seed};
     waitForConvergence(network);
     setDraining(network, 6);
@@ -249,7 +249,7 @@
     CHECK((network.observedState(3, 6) == MemberState::serving));
 }
 
-TEST_CASE("a daemon that starts again with its clock set back is believed though its number is below that of its earlier life")
+TEST_CASE("a daemon restarted with its clock set back raises its incarnation above the earlier one")
 {
     for (const Duration away : {Duration{200ms}, Duration{30s}}) {
         GossipNetwork network{20, seed};
@@ -268,10 +268,10 @@
     }
 }
 
-TEST_CASE("regions that were cut off from each other serve inside and meet again without a storm")
+TEST_CASE("partitioned regions keep serving and merge again within the byte limit")
 {
-    // Two regions lose each other for three minutes. Each must stay whole for itself. After the cut both hold each other
-    // for gone at the revisions still in force; they must meet again on their own, within the bytes a daemon may send.
+    // Two regions are partitioned for three minutes. Members within each must keep seeing each other as serving. Afterwards
+    // each region lists the other as gone at the current revisions; they must merge without help, within the byte limit.
     GossipNetwork network{40, seed};
     waitForConvergence(network);
     const auto isEast = [](const std::size_t index) {
@@ -300,7 +300,7 @@
     CHECK(static_cast<double>(network.bytesSent()) / static_cast<double>(network.size()) / seconds < bytesAllowed);
 }
 
-TEST_CASE("a rumour reaches everyone once, and an older version replaces nothing")
+TEST_CASE("each daemon receives a rumour once, and an older version does not replace it")
 {
     GossipNetwork network{30, seed};
     waitForConvergence(network);
@@ -318,10 +318,10 @@
     }
 }
 
-TEST_CASE("a rumour ends with its time, also for those that hear of it late")
+TEST_CASE("a rumour expires at its original time on daemons that receive it late")
 {
-    // A request that crashed servers stays refused although its quarantine has passed: a daemon that hears of it late
-    // would start its time anew and pass it on, and so it would go round for ever.
+    // If a daemon that receives a rumour late restarted its time to live and passed it on, the rumour would circulate for
+    // ever, and a request would be refused after its quarantine has ended.
     GossipNetwork network{20, seed};
     waitForConvergence(network);
     const Rumour quarantine{.key = {.kind = RumourKind::quarantine, .key = "fingerprint"}, .version = 1, .payload = {}, .remaining = 8s};
@@ -336,7 +336,7 @@
     }
 }
 
-TEST_CASE("a daemon that starts again hears within a second that its server left, whatever else is told")
+TEST_CASE("a restarted daemon learns of its server's departure within a second despite many other rumours")
 {
     GossipNetwork network{40, seed};
     waitForConvergence(network);
@@ -356,7 +356,7 @@
     CHECK(network.runUntil(knows, 1s).has_value());
 }
 
-TEST_CASE("the bytes that a daemon sends at rest do not grow with the fleet")
+TEST_CASE("the bytes that an idle daemon sends do not grow with the fleet")
 {
     constexpr std::size_t small = 10;
     constexpr std::size_t large = 80;
--- a/test/egretlatch/membership/gossip_figures.cpp
+++ b/test/egretlatch/membership/gossip_figures.cpp
@@ -20,7 +20,7 @@
     return std::chrono::duration<double>{span}.count();
 }
 
-// The simulated times after which each running member holds another for `state`, sorted.
+// Returns the simulated times in seconds after which each running member sees the subject in `state`, sorted.
 [[nodiscard]] std::vector<double> spreadTimes(GossipNetwork &network, const std::size_t subject, const MemberState state)
 {
     std::vector<double> times(network.size(), -1);
@@ -87,9 +87,9 @@
 
 } // namespace
 
-TEST_CASE("figures of the spread in a simulated network, and their bounds")
+TEST_CASE("dissemination times and bytes in a simulated network stay within their bounds")
 {
-    // In simulated time, so the bounds hold on any machine. A larger fleet is asked for by the environment.
+    // Measured in simulated time, so the bounds hold on any machine. The environment variable sets a larger fleet.
     const char *const asked = std::getenv("EGRETLATCH_GOSSIP_DAEMONS");
     const std::size_t count = asked == nullptr ? 60 : std::strtoul(asked, nullptr, 10);
     for (const double loss : {0.0, 0.3}) {
--- a/test/egretlatch/membership/roster.cpp
+++ b/test/egretlatch/membership/roster.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("a higher incarnation overrules any revision of a lower one")
+TEST_CASE("a higher incarnation overrides any revision of a lower one")
 {
     Roster roster{makeMember("self", 1, 0)};
     CHECK(roster.merge(makeMember("other", 5, 9), UpdateSource::rumour, SteadyTime{}) == MergeOutcome::changed);
@@ -34,7 +34,7 @@
     CHECK(roster.find({"other"})->incarnation.value == 6);
 }
 
-TEST_CASE("a doubt overrules its own revision and yields to the next")
+TEST_CASE("a suspicion overrides its own revision and is refuted by the next")
 {
     Roster roster{makeMember("self", 1, 0)};
     roster.merge(makeMember("other", 1, 3), UpdateSource::rumour, SteadyTime{});
@@ -46,7 +46,7 @@
     CHECK((roster.find({"other"})->state == MemberState::serving));
 }
 
-TEST_CASE("a daemon overrules doubts and wrong entries of itself, but not its next life")
+TEST_CASE("a daemon overrides suspicions and wrong entries of itself, but not its next incarnation")
 {
     Roster roster{makeMember("self", 7, 2)};
     CHECK(roster.suspect({.id = {"self"}, .incarnation = {7}, .revision = 2}, SteadyTime{}) == MergeOutcome::refuted);
@@ -58,10 +58,10 @@
     CHECK(roster.self().revision == 6);
 }
 
-TEST_CASE("a member taken for gone is kept, and comes back by a later beat but not by an old one")
+TEST_CASE("a member that timed out as gone is restored by a later heartbeat, but not by an old one")
 {
-    // After a cut between regions each side is told by the other's pulls that its members live. An entry from before the
-    // verdict must not bring back the dead: daemons would go on telling one another of a member that nobody can reach.
+    // After a partition each region learns from pulls that the other's members are alive. An entry from before the timeout
+    // must not restore a dead member: daemons would go on passing the entry of an unreachable member to each other.
     Roster roster{makeMember("self", 1, 0)};
     Member other = makeMember("other", 1, 0);
     other.beat = 4;
@@ -76,7 +76,7 @@
     CHECK((roster.find({"other"})->state == MemberState::serving));
 }
 
-TEST_CASE("members are forgotten only after hours")
+TEST_CASE("gone members are removed only after hours")
 {
     Roster roster{makeMember("self", 1, 0)};
     roster.merge(makeMember("other", 1, 0), UpdateSource::rumour, SteadyTime{});
--- a/test/egretlatch/membership/update_queue.cpp
+++ b/test/egretlatch/membership/update_queue.cpp
@@ -6,7 +6,7 @@
 using egretlatch::membership::UpdateQueue;
 using egretlatch::membership::UpdateSubject;
 
-TEST_CASE("news is sent a bounded number of times, what was sent least first")
+TEST_CASE("an update is sent a bounded number of times, and the least sent goes first")
 {
     UpdateQueue queue;
     queue.add(DaemonId{"old"}, 2);
--- a/test/fakes/gossip_network.hpp
+++ b/test/fakes/gossip_network.hpp
@@ -18,7 +18,7 @@
 namespace fakes
 {
 
-/*! @brief One daemon's gossip, with what surrounds it. */
+/*! @brief Gossip instance of one daemon with its dependencies, counters and received rumours. */
 struct GossipNode
 {
     GossipNode(egretlatch::membership::Member self, std::uint64_t seed, std::vector<egretlatch::membership::Contact> contacts);
@@ -34,7 +34,7 @@
     std::vector<egretlatch::membership::Rumour> rumours;
 };
 
-/*! @brief Several gossip instances on a network that delays, and loses, by a seeded source. */
+/*! @brief Simulated network of gossip instances with seeded random delay and loss. */
 class GossipNetwork
 {
 public:
@@ -43,7 +43,7 @@
     /**
      * @brief Starts nodes `d000`, `d001`, ..., all with the first three as contacts.
      * @param count Number of nodes.
-     * @param seed Seed of the network and, with its number, of each node.
+     * @param seed Seed of the network; the seed of each node is derived from it, the node's number and its incarnation.
      */
     GossipNetwork(std::size_t count, std::uint64_t seed);
 
@@ -54,26 +54,26 @@
     std::size_t add();
 
     /**
-     * @brief Starts a node anew, under its id and with a higher incarnation.
+     * @brief Restarts a node under the same id with a higher incarnation.
      * @param index Its number.
      */
     void replace(std::size_t index);
 
     /**
-     * @brief Starts a node anew, under its id and with a lower incarnation, as a clock that was set back brings about.
+     * @brief Restarts a node under the same id with a lower incarnation, as after its clock was set back.
      * @param index Its number.
      */
     void startWithClockSetBack(std::size_t index);
 
     /**
-     * @brief Stops a node, or wakes it: what was sent to it meanwhile is delivered then.
+     * @brief Pauses or resumes a node; messages sent to a paused node are delivered when it resumes.
      * @param index Its number.
-     * @param isRunning Whether it runs.
+     * @param isRunning True to resume it, false to pause it.
      */
     void setRunning(std::size_t index, bool isRunning);
 
     /**
-     * @brief Ends a node for good.
+     * @brief Stops a node without notice; messages to it are dropped.
      * @param index Its number.
      */
     void kill(std::size_t index);
@@ -84,46 +84,46 @@
     }
 
     /**
-     * @brief Cuts links.
-     * @param cut Says which; null for none.
+     * @brief Sets the links that drop all messages.
+     * @param partition Returns true for a link that drops all messages; null for no partition.
      */
-    void setPartition(Partition cut)
+    void setPartition(Partition partition)
     {
-        m_partition = std::move(cut);
+        m_partition = std::move(partition);
     }
 
     /**
-     * @brief Lets time pass.
-     * @param span How much.
+     * @brief Advances simulated time.
+     * @param span Duration.
      */
     void run(egretlatch::Duration span);
 
     /**
-     * @brief Lets time pass until something holds.
-     * @param holds The condition, looked at every 50 ms of simulated time.
-     * @param limit Longest time.
-     * @return The time that it took, or nothing if it never held.
+     * @brief Advances simulated time until a condition is true.
+     * @param condition The condition, checked every 50 ms of simulated time.
+     * @param limit Maximum duration.
+     * @return The time that it took, or nothing if the limit was reached.
      */
     [[nodiscard]] std::optional<egretlatch::Duration> runUntil(const std::function<bool()> &condition, egretlatch::Duration limit);
 
     /**
-     * @brief Looks at a member through another's eyes.
-     * @param observer Number of the node that looks.
-     * @param subject Number of the node looked at.
-     * @return The state that the observer sees; gone if it knows no such member.
+     * @brief Returns the state that one node attributes to another.
+     * @param observer Number of the observing node.
+     * @param subject Number of the observed node.
+     * @return The state in the observer's roster; gone if the subject is unknown there.
      */
     [[nodiscard]] egretlatch::membership::MemberState observedState(std::size_t observer, std::size_t subject) const;
 
     /**
-     * @brief Says whether all running nodes see a node in a state.
-     * @param subject Number of the node looked at.
+     * @brief Checks if all other running nodes see a node in a state.
+     * @param subject Number of the observed node.
      * @param state The state.
      * @return True if they all do.
      */
     [[nodiscard]] bool allSee(std::size_t subject, egretlatch::membership::MemberState state) const;
 
     /**
-     * @brief Says whether all running nodes see all running nodes serving.
+     * @brief Checks if all running nodes see all running nodes as serving.
      * @return True if they do.
      */
     [[nodiscard]] bool hasConverged() const;
@@ -143,12 +143,12 @@
         return m_clock.steadyNow();
     }
 
-    /*! @brief Sets the counts of bytes and messages to zero. */
+    /*! @brief Resets the counts of sent bytes and messages. */
     void resetCounts();
 
     /**
-     * @brief Gives the bytes that all nodes sent.
-     * @return Bytes of encoded messages.
+     * @brief Returns the number of bytes sent by all nodes.
+     * @return Total size of the encoded messages, in bytes.
      */
     [[nodiscard]] std::uint64_t bytesSent() const;
 
--- a/test/fakes/roster_fleet.hpp
+++ b/test/fakes/roster_fleet.hpp
@@ -12,8 +12,8 @@
 {
 
 /**
- * @brief Declares one service, `roster`, with two slots.
- * @param read Its idempotent kind, `read`; the other one, `entry`, is like it but not idempotent.
+ * @brief Builds a manifest with one service, `roster`, with two slots.
+ * @param read Specification of its kind `read`; its other kind, `entry`, is the same but not idempotent.
  * @return The manifest.
  */
 [[nodiscard]] inline std::shared_ptr<const egretlatch::manifest::Manifest> rosterManifest(egretlatch::manifest::KindSpec read)
@@ -31,9 +31,9 @@
 }
 
 /**
- * @brief Makes the news that daemons serve `roster`.
- * @param names Their ids.
- * @param incarnation The life of each.
+ * @brief Builds a gossip message that lists daemons as serving `roster`.
+ * @param names Ids of the daemons.
+ * @param incarnation Incarnation of each daemon.
  * @return The message.
  */
 [[nodiscard]] inline egretlatch::protocol::Gossip rosterGossip(const std::vector<std::string> &names, const egretlatch::Incarnation incarnation)
