--- a/src/egretlatch/configuration/follower.cpp
+++ b/src/egretlatch/configuration/follower.cpp
@@ -60,7 +60,7 @@
     m_fleet[sender] = {.version = advert.version, .heard = now};
     const Peer peer{.id = sender, .endpoint = advert.endpoint};
     if (advert.version > m_inForce.version) {
-        learn(advert.version, advert.hash, &peer, now);
+        raiseTarget(advert.version, advert.hash, &peer, now);
         return;
     }
     if (advert.version < m_inForce.version) {
@@ -73,15 +73,15 @@
     }
 }
 
-void Follower::takeAccepted(const std::uint64_t version, const QByteArray &manifest, const SteadyTime now)
+void Follower::handleAccepted(const std::uint64_t version, const QByteArray &manifest, const SteadyTime now)
 {
     if (version <= m_inForce.version || version < m_target.version) {
         return;
     }
     m_target = {.version = version, .hash = contentHash(manifest)};
     m_sources.clear();
-    m_isUnusable = false;
-    takeBody(manifest, {}, now);
+    m_isTargetUnusable = false;
+    applyManifest(manifest, {}, now);
 }
 
 void Follower::handleBodyRequest(const DaemonId &sender, const BodyRequest &request)
@@ -99,25 +99,25 @@
         fetch(now);
         return;
     }
-    takeBody(reply.manifest, sender, now);
+    applyManifest(reply.manifest, sender, now);
 }
 
 bool Follower::handleOutcome(const store::RequestId id, const store::Outcome &outcome, const SteadyTime now)
 {
     if (m_headRequest == id) {
         m_headRequest.reset();
-        takeHead(outcome, now);
+        handleHeadOutcome(outcome, now);
         return true;
     }
     if (m_objectRequest == id) {
         m_objectRequest.reset();
-        takeObject(outcome, now);
+        handleObjectOutcome(outcome, now);
         return true;
     }
     return false;
 }
 
-void Follower::learn(const std::uint64_t version, const std::string &hash, const Peer *const source, const SteadyTime now)
+void Follower::raiseTarget(const std::uint64_t version, const std::string &hash, const Peer *const source, const SteadyTime now)
 {
     if (version <= m_inForce.version || version < m_target.version) {
         return;
@@ -130,7 +130,7 @@
     if (!isSame) {
         m_target = {.version = version, .hash = hash};
         m_sources.clear();
-        m_isUnusable = false;
+        m_isTargetUnusable = false;
         m_fetchDue.reset();
         m_fetchBackoff.reset();
     }
@@ -149,16 +149,16 @@
 
 void Follower::fetch(const SteadyTime now)
 {
-    if (!isBehind() || m_isUnusable || m_objectRequest.has_value()) {
+    if (!isBehind() || m_isTargetUnusable || m_objectRequest.has_value()) {
         return;
     }
     // Alternates between peers and the store, since either may be unreachable for long. Where the caller supplies manifests by
-    // takeAccepted(), the store is skipped, and another peer is asked as soon as one has not answered in time.
+    // handleAccepted(), the store is skipped, and another peer is asked as soon as one has not answered in time.
     const bool isTurnOfStore = m_wasPeerAskedLast && !m_options.receivesManifests;
     if (m_sources.empty() || isTurnOfStore) {
         m_wasPeerAskedLast = false;
         if (m_options.receivesManifests) {
-            retryFetch(now);
+            scheduleFetchRetry(now);
             return;
         }
         fetchFromStore();
@@ -175,12 +175,12 @@
     m_objectRequest = m_outlet.ask(store::ObjectGet{.name = objectName(m_target.hash)});
 }
 
-void Follower::retryFetch(const SteadyTime now)
+void Follower::scheduleFetchRetry(const SteadyTime now)
 {
     m_fetchDue = now + m_fetchBackoff.next(m_random);
 }
 
-void Follower::takeBody(const QByteArray &manifest, const DaemonId &source, const SteadyTime now)
+void Follower::applyManifest(const QByteArray &manifest, const DaemonId &source, const SteadyTime now)
 {
     if (!isBehind()) {
         return;
@@ -188,14 +188,14 @@
     // Bytes from a peer or the store may be truncated, stale or forged; only those with the hash in the head row are accepted.
     if (contentHash(manifest) != m_target.hash) {
         m_outlet.count("hash-mismatch");
-        retryFetch(now);
+        scheduleFetchRetry(now);
         return;
     }
     m_fetchDue.reset();
     const tl::expected<manifest::ParsedManifest, settings::Problems> parsed = manifest::parseManifest(manifest);
     if (!parsed.has_value()) {
         // The manifest was accepted by a newer version of the program. The current one stays in force, and status shows the lag.
-        m_isUnusable = true;
+        m_isTargetUnusable = true;
         m_outlet.count("manifest-not-understood");
         return;
     }
@@ -206,7 +206,7 @@
     advertise(m_options.fanout);
 }
 
-void Follower::takeHead(const store::Outcome &outcome, const SteadyTime now)
+void Follower::handleHeadOutcome(const store::Outcome &outcome, const SteadyTime now)
 {
     if (!outcome.has_value()) {
         m_nextPoll = now + m_pollBackoff.next(m_random);
@@ -223,17 +223,17 @@
         m_outlet.count("head-not-understood");
         return;
     }
-    learn(head->version, head->hash, nullptr, now);
+    raiseTarget(head->version, head->hash, nullptr, now);
 }
 
-void Follower::takeObject(const store::Outcome &outcome, const SteadyTime now)
+void Follower::handleObjectOutcome(const store::Outcome &outcome, const SteadyTime now)
 {
     const auto *const object = outcome.has_value() ? std::get_if<store::ObjectReply>(&*outcome) : nullptr;
     if (object == nullptr) {
-        retryFetch(now);
+        scheduleFetchRetry(now);
         return;
     }
-    takeBody(object->bytes, {}, now);
+    applyManifest(object->bytes, {}, now);
 }
 
 void Follower::poll(const SteadyTime now)
@@ -252,7 +252,7 @@
 void Follower::advertise(const std::size_t count)
 {
     std::vector<Peer> peers = m_outlet.peers();
-    forgetGone(peers);
+    removeGonePeers(peers);
     for (std::size_t sent = 0; sent < count && !peers.empty(); ++sent) {
         const std::size_t chosen = m_random.below(peers.size());
         m_outlet.send(peers[chosen], advert());
@@ -261,7 +261,7 @@
     }
 }
 
-void Follower::forgetGone(const std::vector<Peer> &peers)
+void Follower::removeGonePeers(const std::vector<Peer> &peers)
 {
     std::set<DaemonId> known;
     for (const Peer &peer : peers) {
--- a/src/egretlatch/configuration/follower.hpp
+++ b/src/egretlatch/configuration/follower.hpp
@@ -23,7 +23,7 @@
 {
     /*! @brief False disables the follower: without a platform there are no accepted configurations. */
     bool hasPlatform{};
-    /*! @brief True if takeAccepted() supplies complete manifests, so that the store is not polled or asked for them. */
+    /*! @brief True if handleAccepted() supplies complete manifests, so that the store is not polled or asked for them. */
     bool receivesManifests{};
     /*! @brief Reads of the head row per second, in total over the fleet. */
     double fleetPollsPerSecond{10.0};
@@ -86,7 +86,7 @@
      * @param manifest The complete document.
      * @param now Current time.
      */
-    void takeAccepted(std::uint64_t version, const QByteArray &manifest, SteadyTime now);
+    void handleAccepted(std::uint64_t version, const QByteArray &manifest, SteadyTime now);
 
     /**
      * @brief Handles a peer's request for a manifest.
@@ -141,36 +141,36 @@
     }
 
 private:
-    struct Known
+    struct VersionAndHash
     {
         std::uint64_t version{};
         std::string hash;
     };
 
-    void learn(std::uint64_t version, const std::string &hash, const Peer *source, SteadyTime now);
+    void raiseTarget(std::uint64_t version, const std::string &hash, const Peer *source, SteadyTime now);
     void fetch(SteadyTime now);
     void fetchFromStore();
-    void retryFetch(SteadyTime now);
-    void takeBody(const QByteArray &manifest, const DaemonId &source, SteadyTime now);
-    void takeHead(const store::Outcome &outcome, SteadyTime now);
-    void takeObject(const store::Outcome &outcome, SteadyTime now);
+    void scheduleFetchRetry(SteadyTime now);
+    void applyManifest(const QByteArray &manifest, const DaemonId &source, SteadyTime now);
+    void handleHeadOutcome(const store::Outcome &outcome, SteadyTime now);
+    void handleObjectOutcome(const store::Outcome &outcome, SteadyTime now);
     void poll(SteadyTime now);
     void schedulePoll(SteadyTime now);
     void advertise(std::size_t count);
-    void forgetGone(const std::vector<Peer> &peers);
+    void removeGonePeers(const std::vector<Peer> &peers);
     [[nodiscard]] Advert advert() const;
     [[nodiscard]] bool isBehind() const noexcept;
 
     Outlet &m_outlet;
     RandomSource &m_random;
     FollowerOptions m_options;
-    Known m_inForce;
+    VersionAndHash m_inForce;
     QByteArray m_manifest;
-    Known m_target;
+    VersionAndHash m_target;
     /*! @brief Peers that advertised the target version. */
     std::vector<Peer> m_sources;
     bool m_wasPeerAskedLast{};
-    bool m_isUnusable{};
+    bool m_isTargetUnusable{};
     std::optional<SteadyTime> m_fetchDue;
     std::optional<store::RequestId> m_objectRequest;
     std::optional<store::RequestId> m_headRequest;
--- a/src/egretlatch/decision/core.cpp
+++ b/src/egretlatch/decision/core.cpp
@@ -116,7 +116,7 @@
                        handleManifest(changed);
                    },
                    [&](const ManifestAccepted &accepted) {
-                       m_configuration->takeAccepted(accepted.version, accepted.document, now);
+                       m_configuration->handleAccepted(accepted.version, accepted.document, now);
                    },
                    [&](const PlatformAnswered &answered) {
                        handlePlatform(answered, now);
--- a/src/egretlatch/membership/gossip.cpp
+++ b/src/egretlatch/membership/gossip.cpp
@@ -60,7 +60,7 @@
         answerPing(sender, incarnation, message, suspicion, now);
         break;
     case GossipPurpose::ack:
-        m_prober.noteAck(message.sequence);
+        m_prober.handleAck(message.sequence);
         relayAck(message.sequence, now);
         break;
     case GossipPurpose::pingRequest:
@@ -70,7 +70,7 @@
         answerPull(sender, incarnation, message, now);
         break;
     case GossipPurpose::pullReply:
-        m_statePull.noteReply(sender, message.page, message.hasMore, now);
+        m_statePull.handleReply(sender, message.page, message.hasMore, now);
         break;
     }
 }
--- a/src/egretlatch/membership/prober.cpp
+++ b/src/egretlatch/membership/prober.cpp
@@ -49,7 +49,7 @@
     return actions;
 }
 
-void Prober::noteAck(const std::uint64_t sequence)
+void Prober::handleAck(const std::uint64_t sequence)
 {
     if (m_probe.has_value() && m_probe->sequence == sequence) {
         m_probe.reset();
--- a/src/egretlatch/membership/prober.hpp
+++ b/src/egretlatch/membership/prober.hpp
@@ -58,7 +58,7 @@
      * @brief Records an ack.
      * @param sequence Sequence number of the probe; ignored unless it is the current one.
      */
-    void noteAck(std::uint64_t sequence);
+    void handleAck(std::uint64_t sequence);
 
     /**
      * @brief Records that the transport cannot reach a member: its current probe goes on with indirect pings only, or it is probed next.
--- a/src/egretlatch/membership/rumour_store.cpp
+++ b/src/egretlatch/membership/rumour_store.cpp
@@ -39,7 +39,7 @@
     if (found == m_rumours.end() || found->second.expires.value_or(now + Duration{1}) <= now) {
         return std::nullopt;
     }
-    return withTimeLeft(found->second, now);
+    return withRemainingTime(found->second, now);
 }
 
 std::vector<Rumour> RumourStore::page(const std::size_t page, const std::size_t pageSize, const SteadyTime now) const
@@ -50,7 +50,7 @@
         const bool isInPage = index / pageSize == page;
         const bool holds = entry.expires.value_or(now + Duration{1}) > now;
         if (isInPage && holds) {
-            rumours.push_back(withTimeLeft(entry, now));
+            rumours.push_back(withRemainingTime(entry, now));
         }
         ++index;
     }
@@ -89,7 +89,7 @@
     return sum;
 }
 
-Rumour RumourStore::withTimeLeft(const Entry &entry, const SteadyTime now)
+Rumour RumourStore::withRemainingTime(const Entry &entry, const SteadyTime now)
 {
     Rumour rumour = entry.rumour;
     if (entry.expires.has_value()) {
--- a/src/egretlatch/membership/rumour_store.hpp
+++ b/src/egretlatch/membership/rumour_store.hpp
@@ -72,7 +72,7 @@
         std::optional<SteadyTime> expires;
     };
 
-    [[nodiscard]] static Rumour withTimeLeft(const Entry &entry, SteadyTime now);
+    [[nodiscard]] static Rumour withRemainingTime(const Entry &entry, SteadyTime now);
 
     std::map<RumourKey, Entry> m_rumours;
 };
--- a/src/egretlatch/membership/state_pull.cpp
+++ b/src/egretlatch/membership/state_pull.cpp
@@ -55,7 +55,7 @@
     return PullRequest{.from = m_pull->from, .page = m_pull->page};
 }
 
-void StatePull::noteReply(const DaemonId &from, const std::uint32_t page, const bool hasMore, const SteadyTime now)
+void StatePull::handleReply(const DaemonId &from, const std::uint32_t page, const bool hasMore, const SteadyTime now)
 {
     if (!m_pull.has_value() || m_pull->from != from || m_pull->page != page || !m_pull->asked.has_value()) {
         return;
--- a/src/egretlatch/membership/state_pull.hpp
+++ b/src/egretlatch/membership/state_pull.hpp
@@ -67,7 +67,7 @@
      * @param hasMore True if further pages follow.
      * @param now Current time.
      */
-    void noteReply(const DaemonId &from, std::uint32_t page, bool hasMore, SteadyTime now);
+    void handleReply(const DaemonId &from, std::uint32_t page, bool hasMore, SteadyTime now);
 
     /*! @brief Records that the current pull returned new state, so that the next one follows soon. */
     void noteNewState() noexcept;
