--- a/test/egretlatch/membership/gossip.cpp
+++ b/test/egretlatch/membership/gossip.cpp
@@ -21,14 +21,14 @@
 void waitForConvergence(GossipNetwork &network)
 {
     INFO("seed ", seed);
-    const bool isGathered = network
-                                .runUntil(
-                                    [&network] {
-                                        return network.hasConverged();
-                                    },
-                                    60s)
-                                .has_value();
-    REQUIRE(isGathered);
+    const bool isConverged = network
+                                 .runUntil(
+                                     [&network] {
+                                         return network.hasConverged();
+                                     },
+                                     60s)
+                                 .has_value();
+    REQUIRE(isConverged);
     network.run(15s);
 }
 
