--- a/src/egretlatch/configuration/follower.hpp
+++ b/src/egretlatch/configuration/follower.hpp
@@ -21,9 +21,9 @@
 /*! @brief Sources and intervals of a Follower. */
 struct FollowerOptions
 {
-    /*! @brief False disables the follower: without a platform there are no accepted configurations. */
+    /*! @brief Enables the follower; without a platform there are no accepted configurations. */
     bool hasPlatform{};
-    /*! @brief True if handleAccepted() supplies complete manifests, so that the store is not polled or asked for them. */
+    /*! @brief Turns off polls and fetches from the store, as handleAccepted() supplies complete manifests. */
     bool receivesManifests{};
     /*! @brief Reads of the head row per second, in total over the fleet. */
     double fleetPollsPerSecond{10.0};
--- a/src/egretlatch/membership/gossip_message.hpp
+++ b/src/egretlatch/membership/gossip_message.hpp
@@ -42,7 +42,7 @@
     std::uint64_t digest{};
     /*! @brief Page of the state that a pull asks for or returns, counted from zero. */
     std::uint32_t page{};
-    /*! @brief True in a pull reply if further pages follow. */
+    /*! @brief Flag in a pull reply that further pages follow. */
     bool hasMore{};
     /*! @brief Member entries, the sender's own first. */
     std::vector<Member> members;
--- a/src/egretlatch/membership/member.hpp
+++ b/src/egretlatch/membership/member.hpp
@@ -18,7 +18,7 @@
     serving,
     /*! @brief Its backend server finishes running requests and accepts no new ones. */
     draining,
-    /*! @brief It failed a probe; it may be down or partitioned. */
+    /*! @brief A probe of it failed; it may be down or partitioned. */
     suspect,
     /*! @brief It left, or its suspicion timed out. */
     gone,
--- a/src/egretlatch/membership/roster.hpp
+++ b/src/egretlatch/membership/roster.hpp
@@ -142,7 +142,7 @@
 
     /**
      * @brief Computes a checksum of the announced entries.
-     * @return A number that is equal for two rosters that hold the same entries.
+     * @return A number that is equal for two rosters that hold the same entries; suspects and gone members are not counted.
      */
     [[nodiscard]] std::uint64_t digest() const;
 
