--- a/src/egretlatch/decision/configuration_outlet.cpp
+++ b/src/egretlatch/decision/configuration_outlet.cpp
@@ -3,7 +3,7 @@
 namespace egretlatch::decision
 {
 
-ConfigurationOutlet::ConfigurationOutlet(Surroundings &surroundings, std::vector<configuration::Peer> contacts)
+ConfigurationOutlet::ConfigurationOutlet(CoreContext &surroundings, std::vector<configuration::Peer> contacts)
     : m_surroundings{surroundings}
     , m_contacts{std::move(contacts)}
 {
@@ -34,9 +34,9 @@
     return peers.empty() ? m_contacts : peers;
 }
 
-void ConfigurationOutlet::putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &bringer)
+void ConfigurationOutlet::putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &sourceDaemon)
 {
-    m_surroundings.putInForce(version, manifest, bringer);
+    m_surroundings.putInForce(version, manifest, sourceDaemon);
 }
 
 void ConfigurationOutlet::count(const std::string_view what)
--- a/src/egretlatch/decision/core_builder.cpp
+++ b/src/egretlatch/decision/core_builder.cpp
@@ -77,7 +77,7 @@
     return *this;
 }
 
-CoreBuilder &CoreBuilder::setDoorTimes(const DoorTimes &times)
+CoreBuilder &CoreBuilder::setDrainTimes(const DrainTimes &times)
 {
     m_doorTimes = times;
     return *this;
@@ -125,7 +125,7 @@
         m_gate = std::make_unique<admission::StaticGate>(1, internal::defaultQueueCapacity);
     }
     std::unique_ptr<Core> core{new Core};
-    core->m_surroundings.reset(new Surroundings{
+    core->m_surroundings.reset(new CoreContext{
         .clock = m_clock,
         .random = m_random,
         .metrics = m_metrics,
