--- a/src/egretlatch/membership/fwd.hpp
+++ b/src/egretlatch/membership/fwd.hpp
@@ -21,12 +21,12 @@
 class ContactBook;
 class Departures;
 class Gossip;
-class UpdateQueue;
 class PingRelays;
 class Prober;
 class Roster;
 class RumourStore;
 class StatePull;
+class UpdateQueue;
 
 } // namespace egretlatch::membership
 
