--- a/src/egretlatch/platform/bounds.cpp
+++ b/src/egretlatch/platform/bounds.cpp
@@ -12,7 +12,7 @@
 namespace internal
 {
 
-[[nodiscard]] static std::optional<double> numberOf(const std::string_view text)
+[[nodiscard]] static std::optional<double> parseNumber(const std::string_view text)
 {
     double number = 0.0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -36,9 +36,9 @@
         } else if (name == "drain") {
             bounds.drain = parseDuration(value).value_or(bounds.drain);
         } else if (name == "retry_budget_ratio") {
-            bounds.retryRatio = internal::numberOf(value).value_or(bounds.retryRatio);
+            bounds.retryRatio = internal::parseNumber(value).value_or(bounds.retryRatio);
         } else if (name == "budget_slack") {
-            bounds.retrySlack = internal::numberOf(value).value_or(bounds.retrySlack);
+            bounds.retrySlack = internal::parseNumber(value).value_or(bounds.retrySlack);
         }
     }
     return bounds;
--- a/src/egretlatch/platform/caller_wire.cpp
+++ b/src/egretlatch/platform/caller_wire.cpp
@@ -70,7 +70,7 @@
         caller.name = *name;
         caller.parentName = internal::parentOf(*name);
     }
-    caller.patience = internal::millisecondsOf(http::findHeader(request.headers, deadlineHeader));
+    caller.timeout = internal::millisecondsOf(http::findHeader(request.headers, deadlineHeader));
     return caller;
 }
 
--- a/src/egretlatch/platform/caller_wire.hpp
+++ b/src/egretlatch/platform/caller_wire.hpp
@@ -22,7 +22,7 @@
     /*! @brief Name of the request whose run seems to make this call; empty where the name does not look like that of an inner call. */
     std::string parentName;
     /*! @brief Time that the caller waits, if it said so in a form that can be read. */
-    std::optional<std::chrono::milliseconds> patience;
+    std::optional<std::chrono::milliseconds> timeout;
 
     friend bool operator==(const CallerRequest &, const CallerRequest &) = default;
 };
--- a/src/egretlatch/platform/configuration_document.cpp
+++ b/src/egretlatch/platform/configuration_document.cpp
@@ -23,7 +23,7 @@
 constexpr int lowestRank = 9;
 constexpr int hexadecimal = 16;
 // Attempts beyond the first that a route may ask for; more is a mistake.
-constexpr int mostRetries = 16;
+constexpr int maxRetries = 16;
 // What a route is given that does not say: waits as long as any deadline that has been seen.
 constexpr std::chrono::milliseconds defaultTimeout{10'000};
 constexpr int defaultConnections = 100;
@@ -78,7 +78,7 @@
         {QLatin1String{"idempotent"}, isIdempotent},
         {QLatin1String{"deadlineMs"}, static_cast<qint64>(timeout.count())},
         {QLatin1String{"answerTargetMs"}, static_cast<qint64>(target.count())},
-        {QLatin1String{"retryBudget"}, std::clamp(field(spec, "max_attempts").toInt(1) - 1, 0, mostRetries)},
+        {QLatin1String{"retryBudget"}, std::clamp(field(spec, "max_attempts").toInt(1) - 1, 0, maxRetries)},
     };
 }
 
--- a/src/egretlatch/platform/duration_text.cpp
+++ b/src/egretlatch/platform/duration_text.cpp
@@ -11,7 +11,7 @@
 
 constexpr double millisecondsInSecond = 1000.0;
 // A day; longer spans are a mistake.
-constexpr double longestMilliseconds = 86'400'000.0;
+constexpr double maxMilliseconds = 86'400'000.0;
 
 } // namespace internal
 
@@ -28,7 +28,7 @@
         return std::nullopt;
     }
     const double milliseconds = unit == "s" ? number * internal::millisecondsInSecond : number;
-    if (!(milliseconds >= 0.0) || milliseconds > internal::longestMilliseconds) {
+    if (!(milliseconds >= 0.0) || milliseconds > internal::maxMilliseconds) {
         return std::nullopt;
     }
     return std::chrono::milliseconds{std::llround(milliseconds)};
--- a/src/egretlatch/platform/server_report.cpp
+++ b/src/egretlatch/platform/server_report.cpp
@@ -18,10 +18,10 @@
 {
 
 constexpr std::string_view heartbeatSuffix = "/heartbeat";
-constexpr std::string_view farewellSuffix = "/deregister";
-constexpr double mostSlots = 100'000.0;
+constexpr std::string_view deregisterSuffix = "/deregister";
+constexpr double maxSlots = 100'000.0;
 // Above what a double holds exactly, and far above any calendar time in milliseconds.
-constexpr double mostWhole = 9'007'199'254'740'992.0;
+constexpr double maxExactInteger = 9'007'199'254'740'992.0;
 
 [[nodiscard]] static Result<ServerReport> malformed(const std::string &what)
 {
@@ -29,7 +29,7 @@
 }
 
 // The id between the fixed parts of a path, or nothing.
-[[nodiscard]] static std::optional<std::string> idIn(const std::string &target, const std::string_view suffix)
+[[nodiscard]] static std::optional<std::string> instanceIdIn(const std::string &target, const std::string_view suffix)
 {
     const std::string_view prefix{instancesPath};
     const std::string_view path = std::string_view{target}.substr(0, target.find('?'));
@@ -39,21 +39,21 @@
     return std::string{path.substr(prefix.size(), path.size() - prefix.size() - suffix.size())};
 }
 
-[[nodiscard]] static std::optional<std::int64_t> wholeNumber(const QJsonValue &value, const double most)
+[[nodiscard]] static std::optional<std::int64_t> readInteger(const QJsonValue &value, const double max)
 {
     const double number = value.toDouble(-1.0);
-    if (!value.isDouble() || number < 0.0 || number > most || number != std::floor(number)) {
+    if (!value.isDouble() || number < 0.0 || number > max || number != std::floor(number)) {
         return std::nullopt;
     }
     return static_cast<std::int64_t>(number);
 }
 
-[[nodiscard]] static std::optional<ServerReportState> stateOf(const QString &word)
+[[nodiscard]] static std::optional<ServerReportState> stateOf(const QString &text)
 {
-    if (word == QLatin1String{"ready"}) {
+    if (text == QLatin1String{"ready"}) {
         return ServerReportState::ready;
     }
-    return word == QLatin1String{"draining"} ? std::optional{ServerReportState::draining} : std::nullopt;
+    return text == QLatin1String{"draining"} ? std::optional{ServerReportState::draining} : std::nullopt;
 }
 
 [[nodiscard]] static Result<ServerReport> readHeartbeat(ServerReport report, const QJsonObject &body)
@@ -61,8 +61,8 @@
     const QJsonObject info = body[QLatin1String{"info"}].toObject();
     const QJsonObject status = body[QLatin1String{"status"}].toObject();
     const auto state = stateOf(status[QLatin1String{"state"}].toString());
-    const auto sequence = wholeNumber(status[QLatin1String{"seq"}], mostWhole);
-    const auto slots = wholeNumber(info[QLatin1String{"slots"}], mostSlots);
+    const auto sequence = readInteger(status[QLatin1String{"seq"}], maxExactInteger);
+    const auto slots = readInteger(info[QLatin1String{"slots"}], maxSlots);
     report.service = info[QLatin1String{"service"}].toString().toStdString();
     report.address = body[QLatin1String{"address"}].toString().toStdString();
     if (!state.has_value() || !sequence.has_value() || !slots.has_value() || *slots == 0) {
@@ -72,14 +72,14 @@
         return malformed("a heartbeat without a service or an address");
     }
     const QJsonValue born = body[QLatin1String{"born"}];
-    const auto bornMs = born.isUndefined() ? std::optional<std::int64_t>{0} : wholeNumber(born, mostWhole);
-    if (!bornMs.has_value()) {
+    const auto startedAtMs = born.isUndefined() ? std::optional<std::int64_t>{0} : readInteger(born, maxExactInteger);
+    if (!startedAtMs.has_value()) {
         return malformed("a heartbeat whose time of start is no whole number");
     }
     report.state = *state;
     report.sequence = *sequence;
     report.slots = static_cast<int>(*slots);
-    report.bornMs = *bornMs;
+    report.startedAtMs = *startedAtMs;
     const QJsonValue cold = status[QLatin1String{"cold_remaining"}];
     report.coldRemaining = parseDuration(cold.toString().toStdString()).value_or(std::chrono::milliseconds{0});
     return report;
@@ -106,14 +106,14 @@
         return tl::unexpected{Error{ErrorCode::notFound, "no report"}};
     }
     ServerReport report;
-    if (const auto id = internal::idIn(request.target, internal::farewellSuffix)) {
+    if (const auto id = internal::instanceIdIn(request.target, internal::deregisterSuffix)) {
         report.instance = *id;
         report.state = ServerReportState::left;
         const QJsonObject body = QJsonDocument::fromJson(request.body).object();
-        report.bornMs = internal::wholeNumber(body[QLatin1String{"born"}], internal::mostWhole).value_or(0);
+        report.startedAtMs = internal::readInteger(body[QLatin1String{"born"}], internal::maxExactInteger).value_or(0);
         return report;
     }
-    const auto id = internal::idIn(request.target, internal::heartbeatSuffix);
+    const auto id = internal::instanceIdIn(request.target, internal::heartbeatSuffix);
     if (!id.has_value()) {
         return tl::unexpected{Error{ErrorCode::notFound, "no report"}};
     }
--- a/src/egretlatch/platform/server_report.hpp
+++ b/src/egretlatch/platform/server_report.hpp
@@ -41,7 +41,7 @@
     /*! @brief Requests that it runs at a time; 0 in a farewell. */
     int slots{};
     /*! @brief When this life began, in milliseconds of the calendar clock; 0 if it does not say. */
-    std::int64_t bornMs{};
+    std::int64_t startedAtMs{};
     /*! @brief Grows with each report of this life. */
     std::int64_t sequence{};
     /*! @brief How much longer it stays slow after its start. */
--- a/src/egretlatch/platform/server_wire.cpp
+++ b/src/egretlatch/platform/server_wire.cpp
@@ -14,11 +14,11 @@
 constexpr int firstSuccess = 200;
 constexpr int firstRedirect = 300;
 // Statuses that promise callers that the request has not run and never will.
-constexpr std::array<int, 4> promises{408, 421, 429, 503};
+constexpr std::array<int, 4> notRunStatuses{408, 421, 429, 503};
 
-[[nodiscard]] static bool isPromise(const int status)
+[[nodiscard]] static bool promisesNotRun(const int status)
 {
-    return std::find(promises.begin(), promises.end(), status) != promises.end();
+    return std::find(notRunStatuses.begin(), notRunStatuses.end(), status) != notRunStatuses.end();
 }
 
 } // namespace internal
@@ -30,8 +30,8 @@
     request.target = run.path;
     request.headers = run.headers;
     request.body = run.body;
-    const auto left = std::max(std::chrono::duration_cast<std::chrono::milliseconds>(run.remaining), std::chrono::milliseconds{1});
-    request.headers.push_back({.name = deadlineHeader, .value = std::to_string(left.count())});
+    const auto remaining = std::max(std::chrono::duration_cast<std::chrono::milliseconds>(run.remaining), std::chrono::milliseconds{1});
+    request.headers.push_back({.name = deadlineHeader, .value = std::to_string(remaining.count())});
     if (!instance.empty()) {
         request.headers.push_back({.name = expectedInstanceHeader, .value = instance});
     }
@@ -63,7 +63,7 @@
         return decision::RunFailure::lost;
     }
     // Passed on, such a status would promise the caller that nothing ran, which the server did not say.
-    if (internal::isPromise(answer.status)) {
+    if (internal::promisesNotRun(answer.status)) {
         return decision::RunFailure::lost;
     }
     return decision::RunAnswer{.status = answer.status, .headers = http::forwardable(answer.headers), .body = answer.body};
--- a/src/egretlatch/platform/store_wire.cpp
+++ b/src/egretlatch/platform/store_wire.cpp
@@ -31,7 +31,7 @@
     return QUrl::toPercentEncoding(toQt(text)).toStdString();
 }
 
-[[nodiscard]] static QJsonObject placeOf(const std::string &key)
+[[nodiscard]] static QJsonObject rowAddress(const std::string &key)
 {
     return {{QLatin1String{"table"}, QLatin1String{ownTable}}, {QLatin1String{"part"}, QLatin1String{""}}, {QLatin1String{"key"}, toQt(key)}};
 }
@@ -61,14 +61,14 @@
 {
     QJsonArray conditions;
     for (const store::RowCondition &condition : change.conditions) {
-        QJsonObject row = placeOf(condition.key);
+        QJsonObject row = rowAddress(condition.key);
         row.insert(QLatin1String{"ver"}, static_cast<qint64>(condition.version));
         conditions.append(row);
     }
     QJsonArray writes;
     QJsonArray removals;
     for (const store::RowWrite &row : change.writes) {
-        QJsonObject entry = placeOf(row.key);
+        QJsonObject entry = rowAddress(row.key);
         if (!row.value.has_value()) {
             removals.append(entry);
             continue;
@@ -85,7 +85,7 @@
     return request;
 }
 
-[[nodiscard]] static Error refusalOf(const int status)
+[[nodiscard]] static Error errorForStatus(const int status)
 {
     switch (status) {
     case gone:
@@ -139,7 +139,7 @@
 store::Outcome readStoreAnswer(const store::Request &request, const http::Response &answer)
 {
     if (answer.status != internal::ok) {
-        return tl::unexpected{internal::refusalOf(answer.status)};
+        return tl::unexpected{internal::errorForStatus(answer.status)};
     }
     if (std::holds_alternative<store::TableWrite>(request)) {
         return store::WrittenReply{};
@@ -156,7 +156,7 @@
     return internal::get(fmt::format("/api/rows-get?table={}&part=", operatorTable));
 }
 
-http::Request writeConfigurationWait(const std::uint64_t position, const std::chrono::milliseconds wait)
+http::Request writeConfigurationLongPoll(const std::uint64_t position, const std::chrono::milliseconds wait)
 {
     return internal::get(fmt::format("/api/rows-feed?table={}&after={}&wait_ms={}", operatorTable, position, wait.count()));
 }
@@ -164,7 +164,7 @@
 Result<ConfigurationPage> readConfigurationPage(const http::Response &answer)
 {
     if (answer.status != internal::ok) {
-        return tl::unexpected{internal::refusalOf(answer.status)};
+        return tl::unexpected{internal::errorForStatus(answer.status)};
     }
     const QJsonDocument document = QJsonDocument::fromJson(answer.body);
     const QJsonValue position = document.object()[QLatin1String{"ver"}];
--- a/src/egretlatch/platform/store_wire.hpp
+++ b/src/egretlatch/platform/store_wire.hpp
@@ -49,7 +49,7 @@
  * @param position Where the last page ended.
  * @param wait Time that the store holds the request while there is none.
  */
-[[nodiscard]] http::Request writeConfigurationWait(std::uint64_t position, std::chrono::milliseconds wait);
+[[nodiscard]] http::Request writeConfigurationLongPoll(std::uint64_t position, std::chrono::milliseconds wait);
 
 /**
  * @brief Reads the answer to either.
--- a/src/egretlatch/sidecar/adaptive_options.cpp
+++ b/src/egretlatch/sidecar/adaptive_options.cpp
@@ -15,18 +15,18 @@
 
 daemon::AdaptiveOptions adaptiveOptions(const settings::SwitchedOff &switchedOff)
 {
-    const auto has = [&switchedOff](const settings::Mechanism mechanism) {
+    const auto isEnabled = [&switchedOff](const settings::Mechanism mechanism) {
         return !switchedOff.contains(mechanism);
     };
     using settings::Mechanism;
     daemon::AdaptiveOptions options;
-    options.gate.areSlotsTrusted = has(Mechanism::trustedSlots);
-    options.gate.keepsInnerCalls = has(Mechanism::keptInnerCalls);
-    options.gate.shortestQueue = has(Mechanism::longQueues) ? internal::shortestQueue : std::chrono::milliseconds{};
-    options.gate.level = has(Mechanism::slowLevels) ? internal::levelTimes : admission::LevelTimes{};
-    options.costSource = has(Mechanism::wholeCosts) ? admission::CostSource::observed : admission::CostSource::declared;
-    options.refusesAtEntry = has(Mechanism::entryRefusals);
-    options.learnsServers = has(Mechanism::serverKnowledge);
+    options.gate.areSlotsTrusted = isEnabled(Mechanism::trustedSlots);
+    options.gate.keepsInnerCalls = isEnabled(Mechanism::keptInnerCalls);
+    options.gate.shortestQueue = isEnabled(Mechanism::longQueues) ? internal::shortestQueue : std::chrono::milliseconds{};
+    options.gate.level = isEnabled(Mechanism::slowLevels) ? internal::levelTimes : admission::LevelTimes{};
+    options.costSource = isEnabled(Mechanism::wholeCosts) ? admission::CostSource::observed : admission::CostSource::declared;
+    options.refusesAtEntry = isEnabled(Mechanism::entryRefusals);
+    options.learnsServers = isEnabled(Mechanism::serverKnowledge);
     return options;
 }
 
--- a/src/egretlatch/sidecar/backend_runner.cpp
+++ b/src/egretlatch/sidecar/backend_runner.cpp
@@ -12,13 +12,13 @@
 constexpr std::chrono::milliseconds deadlineMargin{500};
 constexpr http::ReadLimits answerLimits{.headerBytes = 64U * 1024U, .bodyBytes = 64ULL * 1024U * 1024U};
 
-[[nodiscard]] static std::variant<decision::RunAnswer, decision::RunFailure> endOf(const http::Outcome &result)
+[[nodiscard]] static std::variant<decision::RunAnswer, decision::RunFailure> runResultOf(const http::Outcome &result)
 {
     if (const auto *const answer = std::get_if<http::Response>(&result)) {
         return platform::readRun(*answer);
     }
-    const bool hasNeverLeft = std::get<http::Failure>(result) == http::Failure::neverConnected;
-    return hasNeverLeft ? decision::RunFailure::neverConnected : decision::RunFailure::lost;
+    const bool isNeverConnected = std::get<http::Failure>(result) == http::Failure::neverConnected;
+    return isNeverConnected ? decision::RunFailure::neverConnected : decision::RunFailure::lost;
 }
 
 } // namespace internal
@@ -41,7 +41,7 @@
     const ExecutionId execution = start.execution;
     outgoing.onResult = [this, execution](const http::Outcome &result) {
         m_tickets.erase(execution.value);
-        m_onEnded({.execution = execution, .result = internal::endOf(result)});
+        m_onEnded({.execution = execution, .result = internal::runResultOf(result)});
     };
     const http::TicketId ticket = m_pool.send(std::move(outgoing));
     m_tickets.emplace(execution.value, ticket);
--- a/src/egretlatch/sidecar/backend_runner.hpp
+++ b/src/egretlatch/sidecar/backend_runner.hpp
@@ -41,7 +41,7 @@
     void abort(ExecutionId execution);
 
     /*! @brief Drops the connections to a server whose life has ended. */
-    void forgetConnections()
+    void closeIdleConnections()
     {
         m_pool.closeFree();
     }
--- a/src/egretlatch/sidecar/caller_front.cpp
+++ b/src/egretlatch/sidecar/caller_frontend.cpp
@@ -1,4 +1,4 @@
-#include <egretlatch/sidecar/caller_front.hpp>
+#include <egretlatch/sidecar/caller_frontend.hpp>
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 constexpr int notFound = 404;
 // A call whose time is over is refused by the decisions, like any other that comes too late.
-constexpr std::chrono::milliseconds shortestTimeout{1};
+constexpr std::chrono::milliseconds minTimeout{1};
 // A daemon without a configuration has one within a second of reaching the store or another daemon.
 constexpr std::chrono::milliseconds retryWithoutConfiguration{1000};
 
@@ -38,7 +38,7 @@
 
 } // namespace internal
 
-CallerFront::CallerFront(net::Poller &poller, const Clock &clock, RandomSource &random, std::string service, EventHandler onEvent)
+CallerFrontend::CallerFrontend(net::Poller &poller, const Clock &clock, RandomSource &random, std::string service, EventHandler onEvent)
     : m_clock{clock}
     , m_service{std::move(service)}
     , m_onEvent{std::move(onEvent)}
@@ -46,7 +46,7 @@
     , m_server{poller,
                clock,
                [this](const ExchangeId exchange, http::Request request, const SteadyTime readAt) {
-                   take(exchange, std::move(request), readAt);
+                   handleRequest(exchange, std::move(request), readAt);
                },
                [this](const ExchangeId exchange) {
                    m_names.erase(exchange);
@@ -58,7 +58,7 @@
     });
 }
 
-void CallerFront::setManifest(std::shared_ptr<const manifest::Manifest> manifest)
+void CallerFrontend::setManifest(std::shared_ptr<const manifest::Manifest> manifest)
 {
     m_manifest = std::move(manifest);
     const manifest::CallerLimits &limits = m_manifest->callerLimits();
@@ -70,18 +70,18 @@
     });
 }
 
-void CallerFront::answer(const decision::AnswerCaller &order)
+void CallerFrontend::answer(const decision::AnswerCaller &action)
 {
-    const auto found = m_names.find(order.exchange);
+    const auto found = m_names.find(action.exchange);
     if (found == m_names.end()) {
         return;
     }
     const std::string name = std::move(found->second);
     m_names.erase(found);
-    m_server.answer(order.exchange, platform::writeAnswer(order.answer, name));
+    m_server.answer(action.exchange, platform::writeAnswer(action.answer, name));
 }
 
-bool CallerFront::mayOverlap(const http::Request &request) const
+bool CallerFrontend::mayOverlap(const http::Request &request) const
 {
     if (!m_overlaps) {
         return false;
@@ -96,7 +96,7 @@
     });
 }
 
-void CallerFront::take(const ExchangeId exchange, http::Request request, const SteadyTime readAt)
+void CallerFrontend::handleRequest(const ExchangeId exchange, http::Request request, const SteadyTime readAt)
 {
     platform::CallerRequest caller = platform::readCaller(request);
     m_names.emplace(exchange, caller.name);
@@ -121,7 +121,7 @@
     const manifest::KindSpec *const kind = m_manifest->findKind(call.service, call.kind);
     const auto waited = std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.steadyNow() - readAt);
     // One that waited behind others until its time was over is told so as one that did not run.
-    call.timeout = std::max(std::min(caller.patience.value_or(kind->deadline), kind->deadline) - waited, internal::shortestTimeout);
+    call.timeout = std::max(std::min(caller.timeout.value_or(kind->deadline), kind->deadline) - waited, internal::minTimeout);
     m_onEvent(decision::CallArrived{.exchange = exchange, .call = std::move(call)});
 }
 
--- a/src/egretlatch/sidecar/caller_front.hpp
+++ b/src/egretlatch/sidecar/caller_frontend.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_SIDECAR_CALLER_FRONT_HPP
-#define EGRETLATCH_SIDECAR_CALLER_FRONT_HPP
+#ifndef EGRETLATCH_SIDECAR_CALLER_FRONTEND_HPP
+#define EGRETLATCH_SIDECAR_CALLER_FRONTEND_HPP
 
 #include <functional>
 #include <memory>
@@ -17,7 +17,7 @@
 {
 
 /*! @brief Takes plain HTTP requests of callers on this VM, finds their routes, and carries the answers back. */
-class CallerFront
+class CallerFrontend
 {
 public:
     using EventHandler = std::function<void(decision::Event event)>;
@@ -30,7 +30,7 @@
      * @param service Service of the backend server on this VM.
      * @param onEvent Takes what callers do.
      */
-    CallerFront(net::Poller &poller, const Clock &clock, RandomSource &random, std::string service, EventHandler onEvent);
+    CallerFrontend(net::Poller &poller, const Clock &clock, RandomSource &random, std::string service, EventHandler onEvent);
 
     [[nodiscard]] Result<void> listen(const net::Endpoint &endpoint)
     {
@@ -53,7 +53,7 @@
      * @brief Answers a request.
      * @param order The answer.
      */
-    void answer(const decision::AnswerCaller &order);
+    void answer(const decision::AnswerCaller &action);
 
     [[nodiscard]] http::Server &server() noexcept
     {
@@ -61,7 +61,7 @@
     }
 
 private:
-    void take(ExchangeId exchange, http::Request request, SteadyTime readAt);
+    void handleRequest(ExchangeId exchange, http::Request request, SteadyTime readAt);
     [[nodiscard]] bool mayOverlap(const http::Request &request) const;
 
     const Clock &m_clock;
--- a/src/egretlatch/sidecar/configuration_feed.cpp
+++ b/src/egretlatch/sidecar/configuration_feed.cpp
@@ -10,11 +10,11 @@
 
 constexpr std::chrono::milliseconds readTimeout{2000};
 // Below the shortest history that the store keeps, twenty seconds, so that the next call finds where it goes on.
-constexpr std::chrono::milliseconds waitTime{14'000};
-constexpr std::chrono::milliseconds waitTimeout{16'000};
-constexpr std::chrono::milliseconds firstRetry{200};
+constexpr std::chrono::milliseconds longPollWait{14'000};
+constexpr std::chrono::milliseconds longPollTimeout{16'000};
+constexpr std::chrono::milliseconds minRetryDelay{200};
 // Calls to a store that refuses are charged and bring nothing; back within two seconds of its return all the same.
-constexpr std::chrono::milliseconds longestRetry{1500};
+constexpr std::chrono::milliseconds maxRetryDelay{1500};
 
 } // namespace internal
 
@@ -23,25 +23,25 @@
     , m_clock{clock}
     , m_random{random}
     , m_onDocument{std::move(onDocument)}
-    , m_backoff{internal::firstRetry, internal::longestRetry}
+    , m_backoff{internal::minRetryDelay, internal::maxRetryDelay}
 {
 }
 
 void ConfigurationFeed::tick()
 {
-    if (m_isOut || m_clock.steadyNow() < m_nextCall) {
+    if (m_isCallPending || m_clock.steadyNow() < m_nextCall) {
         return;
     }
-    m_isOut = true;
-    const bool isWait = m_position.has_value();
-    const http::Request request = isWait ? platform::writeConfigurationWait(*m_position, internal::waitTime) : platform::writeConfigurationRead();
-    m_client.call(request, isWait ? internal::waitTimeout : internal::readTimeout, [this](const http::Outcome &result) {
-        m_isOut = false;
-        take(result);
+    m_isCallPending = true;
+    const bool isLongPoll = m_position.has_value();
+    const http::Request request = isLongPoll ? platform::writeConfigurationLongPoll(*m_position, internal::longPollWait) : platform::writeConfigurationRead();
+    m_client.call(request, isLongPoll ? internal::longPollTimeout : internal::readTimeout, [this](const http::Outcome &result) {
+        m_isCallPending = false;
+        handleAnswer(result);
     });
 }
 
-void ConfigurationFeed::take(const http::Outcome &result)
+void ConfigurationFeed::handleAnswer(const http::Outcome &result)
 {
     const auto *const answer = std::get_if<http::Response>(&result);
     if (answer == nullptr) {
@@ -62,7 +62,7 @@
         m_onDocument(document);
     }
     // A store that answers at once with nothing new must not be asked in a circle.
-    m_nextCall = page->documents.empty() ? m_clock.steadyNow() + internal::firstRetry : m_clock.steadyNow();
+    m_nextCall = page->documents.empty() ? m_clock.steadyNow() + internal::minRetryDelay : m_clock.steadyNow();
     tick();
 }
 
--- a/src/egretlatch/sidecar/configuration_feed.hpp
+++ b/src/egretlatch/sidecar/configuration_feed.hpp
@@ -36,7 +36,7 @@
     void tick();
 
 private:
-    void take(const http::Outcome &result);
+    void handleAnswer(const http::Outcome &result);
     void retryLater();
 
     StoreClient &m_client;
@@ -47,7 +47,7 @@
     /*! @brief Nothing before the first page, and after the store has dropped the history behind it. */
     std::optional<std::uint64_t> m_position;
     SteadyTime m_nextCall;
-    bool m_isOut{};
+    bool m_isCallPending{};
 };
 
 } // namespace egretlatch::sidecar
--- a/src/egretlatch/sidecar/fwd.hpp
+++ b/src/egretlatch/sidecar/fwd.hpp
@@ -5,12 +5,12 @@
 {
 
 class BackendRunner;
-class CallerFront;
+class CallerFrontend;
 class ConfigurationFeed;
 class LevelLog;
-class ReportIntake;
+class ReportHandler;
 class RequestLog;
-class ServerLife;
+class ServerTracker;
 class Sidecar;
 class StoreClient;
 
--- a/src/egretlatch/sidecar/gauges.cpp
+++ b/src/egretlatch/sidecar/gauges.cpp
@@ -52,8 +52,8 @@
     if (sources.inForceSince.has_value()) {
         metrics.set("configuration_age_seconds", std::chrono::duration<double>(now - *sources.inForceSince).count());
     }
-    for (const auto &[service, left] : core.retriesLeft()) {
-        metrics.set(fmt::format("retries_left{{service=\"{}\"}}", service), left);
+    for (const auto &[service, retries] : core.retriesLeft()) {
+        metrics.set(fmt::format("retries_left{{service=\"{}\"}}", service), retries);
     }
     internal::setMembers(core.roster(), metrics);
     metrics.set("log_lines_left_out", static_cast<double>(sources.logLinesLeftOut));
--- a/src/egretlatch/sidecar/level_log.cpp
+++ b/src/egretlatch/sidecar/level_log.cpp
@@ -8,9 +8,9 @@
 namespace internal
 {
 
-constexpr std::chrono::seconds shortestPause{1};
+constexpr std::chrono::seconds minInterval{1};
 // Part of a class.
-constexpr double muchOfClass = 0.1;
+constexpr double minFractionChange = 0.1;
 
 } // namespace internal
 
@@ -21,10 +21,10 @@
 
 bool LevelLog::isDue(const admission::Level &level, const SteadyTime now) const
 {
-    if (m_writtenAt.has_value() && now - *m_writtenAt < internal::shortestPause) {
+    if (m_writtenAt.has_value() && now - *m_writtenAt < internal::minInterval) {
         return false;
     }
-    return level.rankClass() != m_written.rankClass() || std::abs(level.fraction - m_written.fraction) >= internal::muchOfClass;
+    return level.rankClass() != m_written.rankClass() || std::abs(level.fraction - m_written.fraction) >= internal::minFractionChange;
 }
 
 void LevelLog::write(const admission::LoadReport &load, const std::vector<account::Figure> &figures, const SteadyTime now)
--- a/src/egretlatch/sidecar/report_intake.cpp
+++ b/src/egretlatch/sidecar/report_handler.cpp
@@ -1,4 +1,4 @@
-#include <egretlatch/sidecar/report_intake.hpp>
+#include <egretlatch/sidecar/report_handler.hpp>
 
 namespace egretlatch::sidecar
 {
@@ -11,7 +11,7 @@
 
 } // namespace internal
 
-ReportIntake::ReportIntake(std::string service, std::string address, const Logger &logger, account::MetricsSink &metrics, HasLeft hasLeft)
+ReportHandler::ReportHandler(std::string service, std::string address, const Logger &logger, account::MetricsSink &metrics, HasLeft hasLeft)
     : m_service{std::move(service)}
     , m_server{m_service, std::move(address)}
     , m_logger{logger}
@@ -20,7 +20,7 @@
 {
 }
 
-TakenReport ReportIntake::take(const http::Request &request)
+HandledReport ReportHandler::handle(const http::Request &request)
 {
     const Result<platform::ServerReport> report = platform::readServerReport(request);
     if (!report.has_value()) {
@@ -28,30 +28,31 @@
         m_logger.warning("report not taken", {{"reason", report.error().message}});
         return {.answer = http::bareResponse(isUnknown ? internal::notFound : internal::badRequest), .event = std::nullopt};
     }
-    const std::string lifeBefore = m_server.lifeName();
+    const std::string previousIncarnation = m_server.incarnationName();
     const ReportEffect effect = effectOf(*report);
-    note(*report, effect);
-    const bool hasNewLife = m_server.lifeName() != lifeBefore;
-    if (hasNewLife) {
-        m_logger.info("backend server's life began", {{"instance", m_server.instance()}, {"born", report->bornMs}, {"slots", m_server.slots()}});
+    record(*report, effect);
+    const bool isNewIncarnation = m_server.incarnationName() != previousIncarnation;
+    if (isNewIncarnation) {
+        m_logger.info("backend server's life began", {{"instance", m_server.instance()}, {"born", report->startedAtMs}, {"slots", m_server.slots()}});
     }
-    return {.answer = platform::acknowledgement(), .event = eventOf(*report, effect), .hasNewLife = hasNewLife};
+    return {.answer = platform::acknowledgement(), .event = eventOf(*report, effect), .isNewIncarnation = isNewIncarnation};
 }
 
-ReportEffect ReportIntake::effectOf(const platform::ServerReport &report)
+ReportEffect ReportHandler::effectOf(const platform::ServerReport &report)
 {
-    const ReportEffect effect = m_server.take(report);
-    return effect == ReportEffect::serving && m_hasLeft(m_server.lifeName()) ? ReportEffect::leaving : effect;
+    const ReportEffect effect = m_server.update(report);
+    return effect == ReportEffect::serving && m_hasLeft(m_server.incarnationName()) ? ReportEffect::leaving : effect;
 }
 
-std::optional<decision::Event> ReportIntake::eventOf(const platform::ServerReport &report, const ReportEffect effect) const
+std::optional<decision::Event> ReportHandler::eventOf(const platform::ServerReport &report, const ReportEffect effect) const
 {
     switch (effect) {
     case ReportEffect::serving:
-        return decision::ServerAnnounced{.service = m_service, .slots = m_server.slots(), .connections = m_server.slots(), .instance = m_server.lifeName()};
+        return decision::ServerAnnounced{
+            .service = m_service, .slots = m_server.slots(), .connections = m_server.slots(), .instance = m_server.incarnationName()};
     case ReportEffect::leaving:
     case ReportEffect::leavingElsewhere:
-        return decision::ServerDraining{.instance = m_server.lifeOf(report)};
+        return decision::ServerDraining{.instance = m_server.incarnationNameOf(report)};
     case ReportEffect::ofAnotherServer:
     case ReportEffect::late:
         break;
@@ -59,7 +60,7 @@
     return std::nullopt;
 }
 
-void ReportIntake::note(const platform::ServerReport &report, const ReportEffect effect)
+void ReportHandler::record(const platform::ServerReport &report, const ReportEffect effect)
 {
     m_metrics.count("server_reports", toString(effect));
     const bool isAsBefore = (effect == ReportEffect::serving || effect == ReportEffect::leaving) && m_lastEffect == effect;
@@ -69,11 +70,11 @@
     m_lastEffect = effect;
     m_logger.info("server report",
                   {{"instance", report.instance},
-                   {"born", report.bornMs},
+                   {"born", report.startedAtMs},
                    {"sequence", report.sequence},
                    {"state", platform::toString(report.state)},
                    {"effect", toString(effect)},
-                   {"presentLife", m_server.lifeName()}});
+                   {"presentLife", m_server.incarnationName()}});
 }
 
 } // namespace egretlatch::sidecar
--- a/src/egretlatch/sidecar/report_intake.hpp
+++ b/src/egretlatch/sidecar/report_handler.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_SIDECAR_REPORT_INTAKE_HPP
-#define EGRETLATCH_SIDECAR_REPORT_INTAKE_HPP
+#ifndef EGRETLATCH_SIDECAR_REPORT_HANDLER_HPP
+#define EGRETLATCH_SIDECAR_REPORT_HANDLER_HPP
 
 #include <functional>
 #include <optional>
@@ -9,27 +9,27 @@
 #include <egretlatch/core/logger.hpp>
 #include <egretlatch/decision/event.hpp>
 #include <egretlatch/http/message.hpp>
-#include <egretlatch/sidecar/server_life.hpp>
+#include <egretlatch/sidecar/server_tracker.hpp>
 
 namespace egretlatch::sidecar
 {
 
 /*! @brief What a report of the backend server leads to. */
-struct TakenReport
+struct HandledReport
 {
     http::Response answer;
     /*! @brief What is decided upon, before the answer goes out; nothing for a report without effect. */
     std::optional<decision::Event> event;
     /*! @brief Another life of the server has begun, so that connections to the one before lead nowhere. */
-    bool hasNewLife{};
+    bool isNewIncarnation{};
 };
 
 /*! @brief Reads the reports of the backend server on this VM, follows its lives by them, and says so in the log. */
-class ReportIntake
+class ReportHandler
 {
 public:
     /*! @brief Says whether a life has said that it leaves, to whichever life of this daemon. */
-    using HasLeft = std::function<bool(const std::string &life)>;
+    using HasLeft = std::function<bool(const std::string &incarnation)>;
 
     /**
      * @brief Builds it without a server.
@@ -39,16 +39,16 @@
      * @param metrics Counts the reports by their effect; must outlive it.
      * @param hasLeft Asked of a life that says that it serves.
      */
-    ReportIntake(std::string service, std::string address, const Logger &logger, account::MetricsSink &metrics, HasLeft hasLeft);
+    ReportHandler(std::string service, std::string address, const Logger &logger, account::MetricsSink &metrics, HasLeft hasLeft);
 
     /**
      * @brief Takes a report.
      * @param request What came in.
      * @return What it leads to; the answer is an error for what is no report.
      */
-    [[nodiscard]] TakenReport take(const http::Request &request);
+    [[nodiscard]] HandledReport handle(const http::Request &request);
 
-    [[nodiscard]] const ServerLife &server() const noexcept
+    [[nodiscard]] const ServerTracker &server() const noexcept
     {
         return m_server;
     }
@@ -56,10 +56,10 @@
 private:
     [[nodiscard]] ReportEffect effectOf(const platform::ServerReport &report);
     [[nodiscard]] std::optional<decision::Event> eventOf(const platform::ServerReport &report, ReportEffect effect) const;
-    void note(const platform::ServerReport &report, ReportEffect effect);
+    void record(const platform::ServerReport &report, ReportEffect effect);
 
     std::string m_service;
-    ServerLife m_server;
+    ServerTracker m_server;
     const Logger &m_logger;
     account::MetricsSink &m_metrics;
     HasLeft m_hasLeft;
--- a/src/egretlatch/sidecar/request_log.cpp
+++ b/src/egretlatch/sidecar/request_log.cpp
@@ -23,15 +23,15 @@
                    {"configuration", record.refusal.configurationVersion}});
 }
 
-void RequestLog::write(const decision::NoteRequest &note) const
+void RequestLog::write(const decision::NoteRequest &entry) const
 {
-    m_logger.info(note.what,
-                  {{"request", note.requestName},
-                   {"service", note.service},
-                   {"kind", note.kind},
-                   {"server", note.server.value},
-                   {"reason", note.reason},
-                   {"elapsedMs", std::chrono::duration_cast<std::chrono::milliseconds>(note.elapsed).count()}});
+    m_logger.info(entry.what,
+                  {{"request", entry.requestName},
+                   {"service", entry.service},
+                   {"kind", entry.kind},
+                   {"server", entry.server.value},
+                   {"reason", entry.reason},
+                   {"elapsedMs", std::chrono::duration_cast<std::chrono::milliseconds>(entry.elapsed).count()}});
 }
 
 } // namespace egretlatch::sidecar
--- a/src/egretlatch/sidecar/server_life.hpp
+++ b/src/egretlatch/sidecar/server_tracker.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_SIDECAR_SERVER_LIFE_HPP
-#define EGRETLATCH_SIDECAR_SERVER_LIFE_HPP
+#ifndef EGRETLATCH_SIDECAR_SERVER_TRACKER_HPP
+#define EGRETLATCH_SIDECAR_SERVER_TRACKER_HPP
 
 #include <optional>
 #include <string>
@@ -37,7 +37,7 @@
  * Reports come late and out of order: one that a partition held up may speak of a life that has ended, under the same
  * address and even the same id. A life is told by its id and time of start, and reports within it by their number.
  */
-class ServerLife
+class ServerTracker
 {
 public:
     /**
@@ -45,14 +45,14 @@
      * @param service Service that the server here belongs to.
      * @param address Where it listens, as `ADDRESS:PORT`.
      */
-    ServerLife(std::string service, std::string address);
+    ServerTracker(std::string service, std::string address);
 
     /**
      * @brief Takes a report.
      * @param report The report.
      * @return What it leads to.
      */
-    [[nodiscard]] ReportEffect take(const platform::ServerReport &report);
+    [[nodiscard]] ReportEffect update(const platform::ServerReport &report);
 
     /*! @brief Id that the server of the present life goes by; empty if none is known. */
     [[nodiscard]] const std::string &instance() const noexcept
@@ -61,14 +61,14 @@
     }
 
     /*! @brief Tells the present life from all others. */
-    [[nodiscard]] std::string lifeName() const;
+    [[nodiscard]] std::string incarnationName() const;
 
     /**
      * @brief Names the life that a report speaks of.
      * @param report A report that was taken.
-     * @return The name, as of `lifeName`.
+     * @return The name, as of `incarnationName`.
      */
-    [[nodiscard]] std::string lifeOf(const platform::ServerReport &report) const;
+    [[nodiscard]] std::string incarnationNameOf(const platform::ServerReport &report) const;
 
     /*! @brief Requests that the server runs at a time. */
     [[nodiscard]] int slots() const noexcept
@@ -78,28 +78,28 @@
 
 private:
     /*! @brief A life that reports again after another has taken its place. */
-    struct Rival
+    struct SupersededReport
     {
         std::string instance;
         std::int64_t sequence{};
     };
 
-    [[nodiscard]] bool isPresent(const platform::ServerReport &farewell) const;
+    [[nodiscard]] bool isCurrent(const platform::ServerReport &deregistration) const;
     [[nodiscard]] bool isStale(const platform::ServerReport &report) const;
-    [[nodiscard]] bool isOvertaking(const platform::ServerReport &report) const;
-    void noteRival(const platform::ServerReport &report);
+    [[nodiscard]] bool isStillReporting(const platform::ServerReport &report) const;
+    void noteSupersededReport(const platform::ServerReport &report);
 
     std::string m_service;
     std::string m_address;
     std::string m_instance;
-    std::int64_t m_bornMs{};
+    std::int64_t m_startedAtMs{};
     std::int64_t m_sequence{-1};
     int m_slots{};
     bool m_isLeaving{};
     /*! @brief Id of the life before the present one, whose reports may still come. */
-    std::string m_earlierInstance;
+    std::string m_previousInstance;
     /*! @brief Who reported last, if it was the earlier life and not the present one. */
-    std::optional<Rival> m_rival;
+    std::optional<SupersededReport> m_supersededReport;
 };
 
 } // namespace egretlatch::sidecar
--- a/src/egretlatch/sidecar/leaving_times.hpp
+++ b/src/egretlatch/sidecar/shutdown_times.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_SIDECAR_LEAVING_TIMES_HPP
-#define EGRETLATCH_SIDECAR_LEAVING_TIMES_HPP
+#ifndef EGRETLATCH_SIDECAR_SHUTDOWN_TIMES_HPP
+#define EGRETLATCH_SIDECAR_SHUTDOWN_TIMES_HPP
 
 #include <chrono>
 
@@ -7,14 +7,14 @@
 {
 
 /*! @brief What a daemon does when, from the signal to end. */
-struct LeavingTimes
+struct ShutdownTimes
 {
     /*! @brief Until then new requests are served: callers, and daemons that know of no other, may still come. */
     std::chrono::milliseconds notice{};
     /*! @brief When the process ends at the latest, whatever is under way. */
     std::chrono::milliseconds end{};
 
-    friend bool operator==(const LeavingTimes &, const LeavingTimes &) = default;
+    friend bool operator==(const ShutdownTimes &, const ShutdownTimes &) = default;
 };
 
 /**
@@ -23,10 +23,10 @@
  * Guards against requests that are cut off at the end of a shutdown: one that came as the notice ended, and takes as long as
  * its route allows, must end before the process does.
  * @param grace From the signal to the end that is not asked.
- * @param longestTimeout Longest timeout of a route.
+ * @param maxTimeout Longest timeout of a route.
  * @return The times.
  */
-[[nodiscard]] LeavingTimes leavingTimesOf(std::chrono::milliseconds grace, std::chrono::milliseconds longestTimeout);
+[[nodiscard]] ShutdownTimes shutdownTimes(std::chrono::milliseconds grace, std::chrono::milliseconds maxTimeout);
 
 } // namespace egretlatch::sidecar
 
--- a/src/egretlatch/sidecar/sidecar.cpp
+++ b/src/egretlatch/sidecar/sidecar.cpp
@@ -11,7 +11,7 @@
 #include <egretlatch/platform/names.hpp>
 #include <egretlatch/sidecar/adaptive_options.hpp>
 #include <egretlatch/sidecar/gauges.hpp>
-#include <egretlatch/sidecar/leaving_times.hpp>
+#include <egretlatch/sidecar/shutdown_times.hpp>
 
 namespace egretlatch::sidecar
 {
@@ -19,17 +19,17 @@
 namespace internal
 {
 
-constexpr std::chrono::milliseconds houseInterval{100};
+constexpr std::chrono::milliseconds maintenanceInterval{100};
 // Part of what the fleet may repeat that daemons use; the rest is for what they count differently than its servers: daemons
 // that start anew, and calls that never arrive.
 constexpr double usedShareOfRetries = 0.8;
 // Part of the time, in hundredths, that the platform gives from a server's word that it leaves to its last request. What
 // waits at the door when it closes is sent on within the rest.
-constexpr int hundredths = 100;
-constexpr int doorShare = 40;
-constexpr int lastStartShare = 80;
+constexpr int hundredPercent = 100;
+constexpr int acceptPercent = 40;
+constexpr int lastStartPercent = 80;
 // Others are known half a second after a start; the platform asks for readiness once a second.
-constexpr std::chrono::milliseconds longestLookAround{1500};
+constexpr std::chrono::milliseconds maxDiscoveryWait{1500};
 constexpr const char *metricsPath = "/metrics";
 constexpr int ok = 200;
 constexpr int notFound = 404;
@@ -60,7 +60,7 @@
              m_clock,
              m_random,
              [this](const QByteArray &document) {
-                 takeConfiguration(document);
+                 handleConfiguration(document);
              }}
     , m_backend{m_poller,
                 m_clock,
@@ -68,13 +68,13 @@
                 [this](decision::RunEnded ended) {
                     post(std::move(ended));
                 }}
-    , m_front{m_poller,
-              m_clock,
-              m_random,
-              m_settings.service,
-              [this](decision::Event event) {
-                  post(std::move(event));
-              }}
+    , m_frontend{m_poller,
+                 m_clock,
+                 m_random,
+                 m_settings.service,
+                 [this](decision::Event event) {
+                     post(std::move(event));
+                 }}
     , m_readiness{m_poller,
                   m_clock,
                   [this](const ExchangeId exchange, const http::Request &request, SteadyTime /*readAt*/) {
@@ -87,19 +87,19 @@
                           m_metricsServer.answer(exchange, request.target == internal::metricsPath ? metricsPage() : http::bareResponse(internal::notFound));
                       },
                       [](ExchangeId /*exchange*/) {}}
-    , m_reports{m_poller,
-                m_clock,
-                [this](const ExchangeId exchange, const http::Request &request, SteadyTime /*readAt*/) {
-                    takeReport(exchange, request);
-                },
-                [](ExchangeId /*exchange*/) {}}
-    , m_intake{m_settings.service,
-               m_settings.backend.text(),
-               m_logger,
-               m_metrics,
-               [this](const std::string &life) {
-                   return m_core->hasLeft(life);
-               }}
+    , m_reportServer{m_poller,
+                     m_clock,
+                     [this](const ExchangeId exchange, const http::Request &request, SteadyTime /*readAt*/) {
+                         handleReport(exchange, request);
+                     },
+                     [](ExchangeId /*exchange*/) {}}
+    , m_reportHandler{m_settings.service,
+                      m_settings.backend.text(),
+                      m_logger,
+                      m_metrics,
+                      [this](const std::string &incarnation) {
+                          return m_core->hasLeft(incarnation);
+                      }}
     , m_core{makeCore()}
 {
     m_logSink.setOmissionLine([this](const std::string &event, const std::uint64_t count) {
@@ -110,9 +110,9 @@
     QObject::connect(&m_tickTimer, &QTimer::timeout, &m_tickTimer, [this] {
         tick();
     });
-    m_houseTimer.setInterval(internal::houseInterval);
-    QObject::connect(&m_houseTimer, &QTimer::timeout, &m_houseTimer, [this] {
-        keepHouse();
+    m_maintenanceTimer.setInterval(internal::maintenanceInterval);
+    QObject::connect(&m_maintenanceTimer, &QTimer::timeout, &m_maintenanceTimer, [this] {
+        runMaintenance();
     });
 }
 
@@ -136,10 +136,10 @@
     builder.allowRaise();
     builder.setEntryRules({.countsOnlyArrivals = true, .retrySlack = m_bounds.retrySlack * usedShareOfRetries(), .traces = false});
     builder.setDoorTimes({
-        .afterReport = internal::doorShare * m_bounds.drain / internal::hundredths,
+        .afterReport = internal::acceptPercent * m_bounds.drain / internal::hundredPercent,
         // The server beside this daemon goes on, so the door stays open for daemons that know of no other.
-        .afterSignal = leavingTimesOf(m_bounds.grace, {}).notice,
-        .lastStart = internal::lastStartShare * m_bounds.drain / internal::hundredths,
+        .afterSignal = shutdownTimes(m_bounds.grace, {}).notice,
+        .lastStart = internal::lastStartPercent * m_bounds.drain / internal::hundredPercent,
     });
     daemon::applyPolicy(m_settings.policy, m_random, builder, adaptiveOptions(m_settings.switchedOff));
     return builder.build();
@@ -155,9 +155,9 @@
     if (Result<void> listening = listen(); !listening.has_value()) {
         return listening;
     }
-    m_front.setOverlap(!m_settings.switchedOff.contains(settings::Mechanism::overlap));
+    m_frontend.setOverlap(!m_settings.switchedOff.contains(settings::Mechanism::overlap));
     m_startedAt = m_clock.steadyNow();
-    m_houseTimer.start();
+    m_maintenanceTimer.start();
     m_feed.tick();
     m_logger.info("started", {{"callers", m_settings.callers.text()}, {"backend", m_settings.backend.text()}, {"service", m_settings.service}});
     post(decision::Tick{});
@@ -169,10 +169,10 @@
     if (Result<void> listening = m_peers.start({.address = m_settings.address, .port = m_settings.peerPort}); !listening.has_value()) {
         return listening;
     }
-    if (Result<void> listening = m_front.listen(m_settings.callers); !listening.has_value()) {
+    if (Result<void> listening = m_frontend.listen(m_settings.callers); !listening.has_value()) {
         return listening;
     }
-    if (Result<void> listening = m_reports.listen(m_settings.serverReports); !listening.has_value()) {
+    if (Result<void> listening = m_reportServer.listen(m_settings.serverReports); !listening.has_value()) {
         return listening;
     }
     if (m_settings.metrics.has_value()) {
@@ -191,7 +191,7 @@
     }
     m_logger.info("draining");
     m_drainSince = m_clock.steadyNow();
-    m_front.server().retire();
+    m_frontend.server().retire();
     post(decision::ServerDraining{.isShutdown = false, .isSignal = true});
 }
 
@@ -215,50 +215,50 @@
         handle(next);
     }
     m_isHandling = false;
-    rearm();
+    rescheduleTick();
 }
 
 void Sidecar::handle(const decision::Event &event)
 {
     for (decision::Action &action : m_core->handle(event)) {
-        carryOut(std::move(action));
+        execute(std::move(action));
     }
 }
 
-void Sidecar::carryOut(decision::Action action)
+void Sidecar::execute(decision::Action action)
 {
     if (const auto *const answer = std::get_if<decision::AnswerCaller>(&action)) {
-        m_front.answer(*answer);
+        m_frontend.answer(*answer);
     } else if (auto *const send = std::get_if<decision::SendToPeer>(&action)) {
         m_peers.send(*send);
     } else if (const auto *const start = std::get_if<decision::StartRun>(&action)) {
-        m_backend.start(*start, m_intake.server().instance());
+        m_backend.start(*start, m_reportHandler.server().instance());
     } else if (const auto *const abort = std::get_if<decision::AbortRun>(&action)) {
         m_backend.abort(abort->execution);
     } else if (const auto *const ask = std::get_if<decision::AskPlatform>(&action)) {
-        m_store.ask(ask->request, [this, id = ask->id](store::Outcome outcome) {
+        m_store.execute(ask->request, [this, id = ask->id](store::Outcome outcome) {
             post(decision::PlatformAnswered{.id = id, .outcome = std::move(outcome)});
         });
     } else if (const auto *const refusal = std::get_if<decision::RecordRefusal>(&action)) {
         m_requestLog.write(*refusal);
-    } else if (const auto *const note = std::get_if<decision::NoteRequest>(&action)) {
-        m_requestLog.write(*note);
+    } else if (const auto *const entry = std::get_if<decision::NoteRequest>(&action)) {
+        m_requestLog.write(*entry);
     } else if (const auto *const inForce = std::get_if<decision::ManifestInForce>(&action)) {
         m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"bringer", inForce->bringer.value}});
-        putInForce();
+        applyConfiguration();
     } else if (const auto *const changed = std::get_if<decision::MemberChanged>(&action)) {
         m_logger.info("member changed", {{"member", changed->id.value}, {"state", membership::toString(changed->state)}});
-    } else if (const auto *const heard = std::get_if<decision::DepartureHeard>(&action)) {
-        m_logger.info("departure heard", {{"instance", heard->instance}});
+    } else if (const auto *const departure = std::get_if<decision::DepartureHeard>(&action)) {
+        m_logger.info("departure heard", {{"instance", departure->instance}});
     } else if (const auto *const raised = std::get_if<decision::LifeRaised>(&action)) {
         m_logger.warning("life raised", {{"from", raised->from.value}, {"to", raised->to.value}});
         m_peers.beginLife(raised->to);
     } else if (std::holds_alternative<decision::Drained>(action)) {
-        endNow("nothing is under way");
+        stop("nothing is under way");
     }
 }
 
-void Sidecar::rearm()
+void Sidecar::rescheduleTick()
 {
     const SteadyTime next = m_core->nextTick();
     if (m_tickTimer.isActive() && next >= m_nextTick) {
@@ -274,33 +274,33 @@
     post(decision::Tick{});
 }
 
-void Sidecar::keepHouse()
+void Sidecar::runMaintenance()
 {
     m_logSink.flush();
     m_peers.tick();
-    m_front.server().tick();
+    m_frontend.server().tick();
     m_readiness.tick();
     m_metricsServer.tick();
-    m_reports.tick();
+    m_reportServer.tick();
     m_backend.tick();
     m_store.tick();
     m_feed.tick();
-    noteLevel();
+    logLevelChange();
     if (!m_drainSince.has_value()) {
         return;
     }
-    const Duration drained = m_clock.steadyNow() - *m_drainSince;
-    const LeavingTimes times = leavingTimesOf(m_bounds.grace, longestTimeout());
-    if (!m_isShuttingDown && drained >= times.notice) {
+    const Duration sinceDrain = m_clock.steadyNow() - *m_drainSince;
+    const ShutdownTimes times = shutdownTimes(m_bounds.grace, maxTimeout());
+    if (!m_isShuttingDown && sinceDrain >= times.notice) {
         m_isShuttingDown = true;
         post(decision::ServerDraining{.isShutdown = true, .isSignal = true});
     }
-    if (drained >= times.end) {
-        endNow("the time to drain is over");
+    if (sinceDrain >= times.end) {
+        stop("the time to drain is over");
     }
 }
 
-void Sidecar::noteLevel()
+void Sidecar::logLevelChange()
 {
     const SteadyTime now = m_clock.steadyNow();
     const admission::LoadReport load = m_core->load();
@@ -309,31 +309,31 @@
     }
 }
 
-std::chrono::milliseconds Sidecar::longestTimeout() const
+std::chrono::milliseconds Sidecar::maxTimeout() const
 {
-    std::chrono::milliseconds longest{};
+    std::chrono::milliseconds maximum{};
     if (m_core->manifest() == nullptr) {
-        return longest;
+        return maximum;
     }
     for (const manifest::ServiceSpec &service : m_core->manifest()->services()) {
         for (const manifest::KindSpec &kind : service.kinds) {
-            longest = std::max(longest, kind.deadline);
+            maximum = std::max(maximum, kind.deadline);
         }
     }
-    return longest;
+    return maximum;
 }
 
-void Sidecar::takeReport(const ExchangeId exchange, const http::Request &request)
+void Sidecar::handleReport(const ExchangeId exchange, const http::Request &request)
 {
-    TakenReport taken = m_intake.take(request);
-    if (taken.hasNewLife) {
-        m_backend.forgetConnections();
+    HandledReport handled = m_reportHandler.handle(request);
+    if (handled.isNewIncarnation) {
+        m_backend.closeIdleConnections();
     }
     // Before the acknowledgement: from then on no new request may reach a server that leaves.
-    if (taken.event.has_value()) {
-        post(std::move(*taken.event));
+    if (handled.event.has_value()) {
+        post(std::move(*handled.event));
     }
-    m_reports.answer(exchange, taken.answer);
+    m_reportServer.answer(exchange, handled.answer);
 }
 
 void Sidecar::answerProbe(const ExchangeId exchange, const http::Request &request)
@@ -349,21 +349,21 @@
 {
     // One that knows no other daemon yet would turn away what is for any service but its own. Where it finds nobody it serves
     // what it can.
-    const bool hasLookedAround = !m_core->roster().participants().empty() || m_clock.steadyNow() - m_startedAt >= internal::longestLookAround;
-    return m_inForceSince.has_value() && hasLookedAround && !m_drainSince.has_value();
+    const bool isDiscoveryDone = !m_core->roster().participants().empty() || m_clock.steadyNow() - m_startedAt >= internal::maxDiscoveryWait;
+    return m_inForceSince.has_value() && isDiscoveryDone && !m_drainSince.has_value();
 }
 
 http::Response Sidecar::metricsPage()
 {
     const SteadyTime now = m_clock.steadyNow();
-    setGauges(*m_core, {.slots = m_intake.server().slots(), .inForceSince = m_inForceSince, .logLinesLeftOut = m_logSink.omitted()}, now, m_metrics);
+    setGauges(*m_core, {.slots = m_reportHandler.server().slots(), .inForceSince = m_inForceSince, .logLinesLeftOut = m_logSink.omitted()}, now, m_metrics);
     http::Response response = http::bareResponse(internal::ok);
     response.headers.push_back({.name = "Content-Type", .value = "text/plain; version=0.0.4"});
     response.body = QByteArray::fromStdString(m_metrics.toPrometheus());
     return response;
 }
 
-void Sidecar::takeConfiguration(const QByteArray &document)
+void Sidecar::handleConfiguration(const QByteArray &document)
 {
     Result<platform::AcceptedConfiguration> accepted = platform::readConfiguration(document, m_bounds.retryRatio * usedShareOfRetries());
     if (!accepted.has_value()) {
@@ -373,20 +373,20 @@
     post(decision::ManifestAccepted{.version = accepted->version, .document = std::move(accepted->manifest)});
 }
 
-void Sidecar::putInForce()
+void Sidecar::applyConfiguration()
 {
     m_inForceSince = m_clock.steadyNow();
-    m_front.setManifest(m_core->manifest());
+    m_frontend.setManifest(m_core->manifest());
 }
 
-void Sidecar::endNow(const std::string_view reason)
+void Sidecar::stop(const std::string_view reason)
 {
     if (m_hasEnded) {
         return;
     }
     m_hasEnded = true;
     m_logger.info("stopped", {{"reason", reason}});
-    m_front.server().closeIdle();
+    m_frontend.server().closeIdle();
     m_onEnded();
 }
 
--- a/src/egretlatch/sidecar/sidecar.hpp
+++ b/src/egretlatch/sidecar/sidecar.hpp
@@ -17,10 +17,10 @@
 #include <egretlatch/settings/fleet_bounds.hpp>
 #include <egretlatch/settings/sidecar_settings.hpp>
 #include <egretlatch/sidecar/backend_runner.hpp>
-#include <egretlatch/sidecar/caller_front.hpp>
+#include <egretlatch/sidecar/caller_frontend.hpp>
 #include <egretlatch/sidecar/configuration_feed.hpp>
 #include <egretlatch/sidecar/level_log.hpp>
-#include <egretlatch/sidecar/report_intake.hpp>
+#include <egretlatch/sidecar/report_handler.hpp>
 #include <egretlatch/sidecar/request_log.hpp>
 #include <egretlatch/sidecar/store_client.hpp>
 
@@ -67,19 +67,19 @@
     [[nodiscard]] double usedShareOfRetries() const;
     void post(decision::Event event);
     void handle(const decision::Event &event);
-    void carryOut(decision::Action action);
-    void rearm();
+    void execute(decision::Action action);
+    void rescheduleTick();
     void tick();
-    void keepHouse();
-    void noteLevel();
-    [[nodiscard]] std::chrono::milliseconds longestTimeout() const;
-    void takeReport(ExchangeId exchange, const http::Request &request);
+    void runMaintenance();
+    void logLevelChange();
+    [[nodiscard]] std::chrono::milliseconds maxTimeout() const;
+    void handleReport(ExchangeId exchange, const http::Request &request);
     void answerProbe(ExchangeId exchange, const http::Request &request);
     [[nodiscard]] bool isReady() const;
     [[nodiscard]] http::Response metricsPage();
-    void takeConfiguration(const QByteArray &document);
-    void putInForce();
-    void endNow(std::string_view reason);
+    void handleConfiguration(const QByteArray &document);
+    void applyConfiguration();
+    void stop(std::string_view reason);
 
     settings::SidecarSettings m_settings;
     settings::FleetBounds m_bounds;
@@ -97,15 +97,15 @@
     StoreClient m_store;
     ConfigurationFeed m_feed;
     BackendRunner m_backend;
-    CallerFront m_front;
+    CallerFrontend m_frontend;
     http::Server m_readiness;
     http::Server m_metricsServer;
-    http::Server m_reports;
-    ReportIntake m_intake;
+    http::Server m_reportServer;
+    ReportHandler m_reportHandler;
     std::unique_ptr<decision::Core> m_core;
     std::deque<decision::Event> m_events;
     QTimer m_tickTimer;
-    QTimer m_houseTimer;
+    QTimer m_maintenanceTimer;
     SteadyTime m_nextTick;
     SteadyTime m_startedAt;
     std::optional<SteadyTime> m_drainSince;
--- a/src/egretlatch/sidecar/store_client.cpp
+++ b/src/egretlatch/sidecar/store_client.cpp
@@ -55,7 +55,7 @@
 {
 }
 
-void StoreClient::ask(const store::Request &request, std::function<void(store::Outcome)> onOutcome)
+void StoreClient::execute(const store::Request &request, std::function<void(store::Outcome)> onOutcome)
 {
     const std::optional<http::Request> call = platform::writeStoreRequest(request);
     if (!call.has_value()) {
@@ -78,13 +78,13 @@
     };
     outgoing.deadline = m_clock.steadyNow() + timeout;
     outgoing.onResult = [this, onAnswer = std::move(onAnswer)](http::Outcome result) {
-        noteOutcome(result);
+        recordOutcome(result);
         onAnswer(std::move(result));
     };
     m_pool.send(std::move(outgoing));
 }
 
-void StoreClient::noteOutcome(const http::Outcome &result)
+void StoreClient::recordOutcome(const http::Outcome &result)
 {
     const std::string_view name = internal::outcomeName(result);
     m_metrics.count("store_calls", name);
--- a/src/egretlatch/sidecar/store_client.hpp
+++ b/src/egretlatch/sidecar/store_client.hpp
@@ -33,7 +33,7 @@
      * @param request What is asked; requests about objects are `unavailable` here.
      * @param onOutcome Takes the outcome.
      */
-    void ask(const store::Request &request, std::function<void(store::Outcome)> onOutcome);
+    void execute(const store::Request &request, std::function<void(store::Outcome)> onOutcome);
 
     /**
      * @brief Sends a call that waits for its answer on purpose.
@@ -49,7 +49,7 @@
     }
 
 private:
-    void noteOutcome(const http::Outcome &result);
+    void recordOutcome(const http::Outcome &result);
 
     const Clock &m_clock;
     const Logger &m_logger;
--- a/test/egretlatch/platform/wire.cpp
+++ b/test/egretlatch/platform/wire.cpp
@@ -91,7 +91,7 @@
     CHECK((report->state == platform::ServerReportState::draining));
     CHECK(report->slots == 60);
     CHECK(report->sequence == 4);
-    CHECK(report->bornMs == 1790000000000);
+    CHECK(report->startedAtMs == 1790000000000);
     CHECK(report->coldRemaining == 1500ms);
     for (const std::pair<QByteArray, QByteArray> &change : std::vector<std::pair<QByteArray, QByteArray>>{{"draining", "asleep"},
                                                                                                           {"\"seq\":4", "\"seq\":\"4\""},
@@ -193,14 +193,14 @@
     const platform::CallerRequest caller = platform::readCaller(request);
     CHECK(caller.path == "/a/b");
     CHECK(caller.parentName == "9c41d07be2a35f68");
-    CHECK(caller.patience == 5000ms);
+    CHECK(caller.timeout == 5000ms);
     const Headers forwarded = platform::headersForServer(request.headers, "own");
     CHECK(*http::findHeader(forwarded, "X-Caller-Service") == "own");
     CHECK(http::findHeader(forwarded, "X-Expected-Instance") == nullptr);
     CHECK(http::findHeader(forwarded, "X-Deadline-Ms") == nullptr);
     request.headers = {{.name = "X-Request-Id", .value = "plain"}, {.name = "X-Deadline-Ms", .value = "-5"}};
     CHECK(platform::readCaller(request).parentName.empty());
-    CHECK_FALSE(platform::readCaller(request).patience.has_value());
+    CHECK_FALSE(platform::readCaller(request).timeout.has_value());
 }
 
 TEST_CASE("requests to the store are written in its words, and its answers read")
--- a/test/egretlatch/sidecar/report_intake.cpp
+++ b/test/egretlatch/sidecar/report_handler.cpp
@@ -2,7 +2,7 @@
 
 #include <fakes/counting_metrics.hpp>
 
-#include <egretlatch/sidecar/report_intake.hpp>
+#include <egretlatch/sidecar/report_handler.hpp>
 
 using namespace egretlatch;
 using namespace egretlatch::sidecar;
@@ -27,9 +27,9 @@
     fakes::CountingMetrics metrics;
     Logger logger{LogLevel::error, "test"};
     bool hasLeft{};
-    ReportIntake intake{"roster", "10.0.0.1:80", logger, metrics, [this](const std::string & /*life*/) {
-                            return hasLeft;
-                        }};
+    ReportHandler handler{"roster", "10.0.0.1:80", logger, metrics, [this](const std::string & /*incarnation*/) {
+                              return hasLeft;
+                          }};
 };
 
 } // namespace
@@ -37,13 +37,13 @@
 TEST_CASE("a first report begins a life and announces it, a second one with the same number changes nothing")
 {
     Fixture fixture;
-    const TakenReport first = fixture.intake.take(heartbeat("i-1", 1));
-    CHECK(first.hasNewLife);
+    const HandledReport first = fixture.handler.handle(heartbeat("i-1", 1));
+    CHECK(first.isNewIncarnation);
     REQUIRE(first.event.has_value());
     CHECK(std::holds_alternative<decision::ServerAnnounced>(*first.event));
 
-    const TakenReport again = fixture.intake.take(heartbeat("i-1", 1));
-    CHECK_FALSE(again.hasNewLife);
+    const HandledReport again = fixture.handler.handle(heartbeat("i-1", 1));
+    CHECK_FALSE(again.isNewIncarnation);
     CHECK_FALSE(again.event.has_value());
     CHECK(again.answer.status == first.answer.status);
 }
@@ -52,9 +52,9 @@
 {
     Fixture fixture;
     fixture.hasLeft = true;
-    const TakenReport taken = fixture.intake.take(heartbeat("i-1", 1));
-    REQUIRE(taken.event.has_value());
-    CHECK(std::holds_alternative<decision::ServerDraining>(*taken.event));
+    const HandledReport handled = fixture.handler.handle(heartbeat("i-1", 1));
+    REQUIRE(handled.event.has_value());
+    CHECK(std::holds_alternative<decision::ServerDraining>(*handled.event));
 }
 
 TEST_CASE("what is no report is answered with an error and changes nothing")
@@ -62,7 +62,7 @@
     Fixture fixture;
     http::Request request = heartbeat("i-1", 1);
     request.body = "{";
-    const TakenReport taken = fixture.intake.take(request);
-    CHECK(taken.answer.status == 400);
-    CHECK_FALSE(taken.event.has_value());
+    const HandledReport handled = fixture.handler.handle(request);
+    CHECK(handled.answer.status == 400);
+    CHECK_FALSE(handled.event.has_value());
 }
