--- a/src/egretlatch/platform/bounds.hpp
+++ b/src/egretlatch/platform/bounds.hpp
@@ -11,9 +11,9 @@
 {
 
 /**
- * @brief Reads what the platform asks of each daemon.
- * @param texts Entries of the form `name=value`; unknown ones, and values that cannot be read, are passed over.
- * @return The bounds, with defaults for what is missing.
+ * @brief Parses the bounds that the platform sets for each daemon.
+ * @param texts Entries of the form `name=value`; unknown names and invalid values are ignored.
+ * @return The bounds, with defaults for missing entries.
  */
 [[nodiscard]] settings::FleetBounds readBounds(const std::vector<std::string> &texts);
 
--- a/src/egretlatch/platform/caller_wire.cpp
+++ b/src/egretlatch/platform/caller_wire.cpp
@@ -18,7 +18,7 @@
 constexpr int gatewayTimeout = 504;
 constexpr int tooManyRequests = 429;
 constexpr double millisecondsInSecond = 1000.0;
-// Inner calls have been seen to be named after the request that makes them, with a dot and so many hexadecimal digits.
+// Observed names of inner calls consist of the name of the calling request, a dot and this many hexadecimal digits.
 constexpr std::size_t innerSuffixDigits = 16;
 
 [[nodiscard]] static std::string parentOf(const std::string &name)
--- a/src/egretlatch/platform/caller_wire.hpp
+++ b/src/egretlatch/platform/caller_wire.hpp
@@ -11,40 +11,41 @@
 namespace egretlatch::platform
 {
 
-/*! @brief What a caller's HTTP request says of itself. */
+/*! @brief Routing fields, names and timeout of a caller's HTTP request. */
 struct CallerRequest
 {
     std::string host;
     /*! @brief Path without the query. */
     std::string path;
-    /*! @brief The caller's own name of the request; empty if it gave none. */
+    /*! @brief Name that the caller gave the request; empty if none. */
     std::string name;
-    /*! @brief Name of the request whose run seems to make this call; empty where the name does not look like that of an inner call. */
+    /*! @brief Name of the request whose execution apparently makes this call; empty if the name does not have the form of an inner call's. */
     std::string parentName;
-    /*! @brief Time that the caller waits, if it said so in a form that can be read. */
+    /*! @brief Time that the caller waits; empty if missing or invalid. */
     std::optional<std::chrono::milliseconds> timeout;
 
     friend bool operator==(const CallerRequest &, const CallerRequest &) = default;
 };
 
 /**
- * @brief Reads what a caller's request says of itself.
+ * @brief Reads the routing fields, names and timeout of a caller's request.
  * @param request The request.
  */
 [[nodiscard]] CallerRequest readCaller(const http::Request &request);
 
 /**
- * @brief Gives the header fields that a backend server is to see.
+ * @brief Returns the header fields to send to a backend server.
  * @param headers Fields of the caller's request.
- * @param ownService Service beside which this daemon runs.
- * @return The fields that are forwarded, and the one that says where the request began.
+ * @param ownService Service of the backend server on this daemon's VM.
+ * @return The forwarded fields, and the one that names the calling service.
  */
 [[nodiscard]] Headers headersForServer(const Headers &headers, const std::string &ownService);
 
 /**
- * @brief Puts an answer into the caller's HTTP.
- * @param answer The answer; with a refusal, its verdict decides between a status that promises that nothing ran and one that does not.
- * @param requestName The caller's own name of the request.
+ * @brief Converts an answer to the platform's HTTP for callers.
+ * @param answer The answer; for a refusal, the verdict selects a status that promises that the request did not run, or one that
+ *        does not.
+ * @param requestName Name that the caller gave the request.
  */
 [[nodiscard]] http::Response writeAnswer(const decision::CallerAnswer &answer, const std::string &requestName);
 
--- a/src/egretlatch/platform/configuration_document.cpp
+++ b/src/egretlatch/platform/configuration_document.cpp
@@ -22,15 +22,15 @@
 
 constexpr int lowestRank = 9;
 constexpr int hexadecimal = 16;
-// Attempts beyond the first that a route may ask for; more is a mistake.
+// Upper limit on the retries of a route; a larger value in a document is an error and is clamped.
 constexpr int maxRetries = 16;
-// What a route is given that does not say: waits as long as any deadline that has been seen.
+// Default of a route without a timeout; as long as the longest deadline observed.
 constexpr std::chrono::milliseconds defaultTimeout{10'000};
 constexpr int defaultConnections = 100;
 
 struct Services
 {
-    /*! @brief By name. */
+    /*! @brief Services by name. */
     std::map<QString, QJsonObject> services;
     std::map<QString, QJsonArray> kinds;
 };
@@ -66,14 +66,14 @@
 [[nodiscard]] static QJsonObject kindOf(const QString &name, const QJsonObject &spec)
 {
     const QString kind = field(spec, "kind").toString();
-    // An unknown kind counts as one that may not be repeated: that is the promise that holds for any.
+    // An unknown kind is treated as not idempotent, which is safe for every kind.
     const bool isIdempotent = kind == QLatin1String{"idempotent"} || kind == QLatin1String{"download"};
     const std::chrono::milliseconds timeout = durationOf(field(spec, "timeout"), defaultTimeout);
     const std::chrono::milliseconds target = durationOf(field(spec, "target_latency"), timeout);
     return {
         {QLatin1String{"name"}, name},
         {QLatin1String{"priority"}, lowestRank - std::clamp(field(spec, "priority").toInt(lowestRank), 0, lowestRank)},
-        // The platform ranks its routes and says nothing of their worth, so those of one rank are worth the same.
+        // The platform gives routes a priority but no worth, so all routes of one priority have equal worth.
         {QLatin1String{"worth"}, 1.0},
         {QLatin1String{"idempotent"}, isIdempotent},
         {QLatin1String{"deadlineMs"}, static_cast<qint64>(timeout.count())},
@@ -87,7 +87,7 @@
     const int connections = std::max(field(spec, "max_connections").toInt(defaultConnections), 1);
     services.services[name] = {
         {QLatin1String{"name"}, name},
-        // How many it runs at a time is told by each backend server itself.
+        // Placeholder: each backend server reports its number of slots itself.
         {QLatin1String{"slots"}, 1},
         {QLatin1String{"connections"}, connections},
         {QLatin1String{"retryRatio"}, retryRatio},
@@ -133,7 +133,7 @@
     bool isNumber = false;
     const std::uint64_t version = internal::field(root, "version").toString().toULongLong(&isNumber, internal::hexadecimal);
     if (!isNumber || version == 0 || !internal::field(root, "resources").isArray()) {
-        return tl::unexpected{Error{ErrorCode::malformed, "a configuration without a version or resources"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "the configuration has no valid version or no resources"}};
     }
     internal::Services services;
     QJsonArray routes;
--- a/src/egretlatch/platform/configuration_document.hpp
+++ b/src/egretlatch/platform/configuration_document.hpp
@@ -10,23 +10,23 @@
 namespace egretlatch::platform
 {
 
-/*! @brief A configuration of the operators in this project's own form. */
+/*! @brief Operators' configuration, converted to a manifest. */
 struct AcceptedConfiguration
 {
     std::uint64_t version{};
-    /*! @brief A manifest as parseManifest() reads it. */
+    /*! @brief Manifest in the form that parseManifest() reads. */
     QByteArray manifest;
 
     friend bool operator==(const AcceptedConfiguration &, const AcceptedConfiguration &) = default;
 };
 
 /**
- * @brief Puts an operator's document into a manifest.
+ * @brief Converts an operators' document to a manifest.
  *
- * A route becomes a request kind of that name at each service that it leads to. The platform's ranks count from 0, the
- * highest; the manifest's priorities rise from 0 to 9.
- * @param document The document as it was written.
- * @param retryRatio Repeats for each request that a service takes from the whole fleet.
+ * A route becomes a request kind of the same name at each of its target services. The platform's priorities count down from 0,
+ * the highest, to 9; the manifest's priorities rise from 0 to 9.
+ * @param document The document as the operators wrote it.
+ * @param retryRatio Retries per request that a service allows the whole fleet.
  * @return The manifest with its version, or `malformed`.
  */
 [[nodiscard]] Result<AcceptedConfiguration> readConfiguration(const QByteArray &document, double retryRatio);
--- a/src/egretlatch/platform/duration_text.cpp
+++ b/src/egretlatch/platform/duration_text.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr double millisecondsInSecond = 1000.0;
-// A day; longer spans are a mistake.
+// One day; longer durations are rejected as errors.
 constexpr double maxMilliseconds = 86'400'000.0;
 
 } // namespace internal
--- a/src/egretlatch/platform/duration_text.hpp
+++ b/src/egretlatch/platform/duration_text.hpp
@@ -9,9 +9,9 @@
 {
 
 /**
- * @brief Reads a span of time such as `1500ms` or `2.5s`.
+ * @brief Parses a duration such as `1500ms` or `2.5s`.
  * @param text The text.
- * @return The span, to the millisecond, or nothing if it has another form or is negative.
+ * @return The duration, rounded to milliseconds; nothing if the text has another form, is negative or exceeds one day.
  */
 [[nodiscard]] std::optional<std::chrono::milliseconds> parseDuration(std::string_view text);
 
--- a/src/egretlatch/platform/server_report.cpp
+++ b/src/egretlatch/platform/server_report.cpp
@@ -20,7 +20,7 @@
 constexpr std::string_view heartbeatSuffix = "/heartbeat";
 constexpr std::string_view deregisterSuffix = "/deregister";
 constexpr double maxSlots = 100'000.0;
-// Above what a double holds exactly, and far above any calendar time in milliseconds.
+// 2^53, up to which a double holds every integer exactly; far above any calendar time in milliseconds.
 constexpr double maxExactInteger = 9'007'199'254'740'992.0;
 
 [[nodiscard]] static Result<ServerReport> malformed(const std::string &what)
@@ -28,7 +28,7 @@
     return tl::unexpected{Error{ErrorCode::malformed, what}};
 }
 
-// The id between the fixed parts of a path, or nothing.
+// Returns the instance id between the fixed parts of a path, or nothing if the path has another form.
 [[nodiscard]] static std::optional<std::string> instanceIdIn(const std::string &target, const std::string_view suffix)
 {
     const std::string_view prefix{instancesPath};
--- a/src/egretlatch/platform/server_report.hpp
+++ b/src/egretlatch/platform/server_report.hpp
@@ -12,39 +12,39 @@
 namespace egretlatch::platform
 {
 
-/*! @brief What a backend server says it is doing. */
+/*! @brief State that a backend server reports. */
 enum class ServerReportState {
     ready,
-    /*! @brief It is about to leave and asks for no new work. */
+    /*! @brief The server is about to leave and wants no new requests. */
     draining,
-    /*! @brief It has taken itself out of the list, and may still finish what it has. */
+    /*! @brief The server has deregistered; it may still complete requests in flight. */
     left,
 };
 
 /**
- * @brief Gives a state as text.
+ * @brief Returns a state as text.
  * @param state The state.
  * @return Its name in logs.
  */
 [[nodiscard]] std::string_view toString(ServerReportState state) noexcept;
 
-/*! @brief A heartbeat, or a farewell, of the backend server on this VM. */
+/*! @brief Heartbeat or deregistration of the backend server on this VM. */
 struct ServerReport
 {
-    /*! @brief Names one life of a backend server; may be used again after a restart. */
+    /*! @brief Id of one incarnation of a backend server; may be reused after a restart. */
     std::string instance;
     ServerReportState state{ServerReportState::ready};
-    /*! @brief Service that it belongs to; empty in a farewell. */
+    /*! @brief Service of the server; empty in a deregistration. */
     std::string service;
-    /*! @brief Where it listens, as `ADDRESS:PORT`; empty in a farewell. */
+    /*! @brief Address that it listens on, as `ADDRESS:PORT`; empty in a deregistration. */
     std::string address;
-    /*! @brief Requests that it runs at a time; 0 in a farewell. */
+    /*! @brief Maximum number of concurrent requests; 0 in a deregistration. */
     int slots{};
-    /*! @brief When this life began, in milliseconds of the calendar clock; 0 if it does not say. */
+    /*! @brief Start of this incarnation, in milliseconds of the calendar clock; 0 if not reported. */
     std::int64_t startedAtMs{};
-    /*! @brief Grows with each report of this life. */
+    /*! @brief Sequence number, which grows with each report of an incarnation. */
     std::int64_t sequence{};
-    /*! @brief How much longer it stays slow after its start. */
+    /*! @brief Remaining time of the slow phase after a start. */
     std::chrono::milliseconds coldRemaining{};
 
     friend bool operator==(const ServerReport &, const ServerReport &) = default;
@@ -52,12 +52,12 @@
 
 /**
  * @brief Reads a report.
- * @param request What came in.
- * @return The report; `notFound` if the path is none of a report, `malformed` if a field is missing or cannot be read.
+ * @param request The HTTP request.
+ * @return The report; `notFound` if the method or path is not that of a report, `malformed` if a field is missing or invalid.
  */
 [[nodiscard]] Result<ServerReport> readServerReport(const http::Request &request);
 
-/*! @brief The answer that acknowledges a report. */
+/*! @brief Returns the answer that acknowledges a report. */
 [[nodiscard]] http::Response acknowledgement();
 
 } // namespace egretlatch::platform
--- a/src/egretlatch/platform/server_wire.cpp
+++ b/src/egretlatch/platform/server_wire.cpp
@@ -13,7 +13,7 @@
 
 constexpr int firstSuccess = 200;
 constexpr int firstRedirect = 300;
-// Statuses that promise callers that the request has not run and never will.
+// Statuses that promise callers that the request has not run and will not run.
 constexpr std::array<int, 4> notRunStatuses{408, 421, 429, 503};
 
 [[nodiscard]] static bool promisesNotRun(const int status)
@@ -58,11 +58,12 @@
     const bool isSuccess = answer.status >= internal::firstSuccess && answer.status < internal::firstRedirect;
     const bool isSigned = http::findHeader(answer.headers, serverStampHeader) != nullptr;
     const bool isEncoded = http::findHeader(answer.headers, contentEncodingHeader) != nullptr;
-    // A success without the server's signature, or with other bytes than it made, would pass for its answer.
+    // An encoding that was not requested, or a success without the server's signature, shows that the bytes may not be the
+    // server's own, so the answer must not pass for one.
     if (isEncoded || (isSuccess && !isSigned)) {
         return decision::RunFailure::lost;
     }
-    // Passed on, such a status would promise the caller that nothing ran, which the server did not say.
+    // Forwarding such a status would promise the caller that the request did not run, which the server has not confirmed.
     if (internal::promisesNotRun(answer.status)) {
         return decision::RunFailure::lost;
     }
--- a/src/egretlatch/platform/server_wire.hpp
+++ b/src/egretlatch/platform/server_wire.hpp
@@ -12,32 +12,32 @@
 {
 
 /**
- * @brief Puts a request into the backend server's HTTP.
+ * @brief Converts a request to the platform's HTTP for backend servers.
  * @param run The request.
- * @param instance The life of the backend server that is to run it; empty if it is not known.
+ * @param instance Incarnation of the backend server that is to execute it; empty if unknown.
  */
 [[nodiscard]] http::Request writeRun(const decision::RunRequest &run, const std::string &instance);
 
 /**
- * @brief Gives the caller's own name of a request.
+ * @brief Returns the name that the caller gave a request.
  * @param run The request.
- * @return The name; empty if there is none.
+ * @return The name; empty if it has none.
  */
 [[nodiscard]] std::string requestNameOf(const decision::RunRequest &run);
 
 /**
- * @brief Tells whether an answer belongs to a request.
+ * @brief Checks if an answer belongs to a request.
  * @param answer A backend server's answer.
- * @param requestName The caller's own name of the request.
- * @return False for the late answer of an earlier request.
+ * @param requestName Name that the caller gave the request.
+ * @return False if the answer names another request, as a late answer to an earlier request does.
  */
 [[nodiscard]] bool isAnswerTo(const http::Response &answer, const std::string &requestName);
 
 /**
- * @brief Reads what a backend server answered.
- * @param answer The whole answer.
- * @return The answer as the caller is to get it, `rejected` if the server says that it did not run the request, or `lost` if
- *         what came cannot be passed on as that server's word.
+ * @brief Reads a backend server's answer.
+ * @param answer The complete answer.
+ * @return The answer to forward to the caller, `rejected` if the server reports that it did not execute the request, or `lost`
+ *         if the answer cannot be forwarded as that server's own.
  */
 [[nodiscard]] std::variant<decision::RunAnswer, decision::RunFailure> readRun(const http::Response &answer);
 
--- a/src/egretlatch/platform/store_wire.cpp
+++ b/src/egretlatch/platform/store_wire.cpp
@@ -46,13 +46,13 @@
 
 [[nodiscard]] static http::Request write(const store::TableRead &read)
 {
-    // There is no call for one row; a page of one row that begins with its key is it, or shows that it is missing.
+    // The store has no call for a single row. A page of one row from this key on holds the row or shows that it is missing.
     return get(fmt::format("/api/rows-get?table={}&part=&from={}&limit=1", ownTable, percentEncoded(read.key)));
 }
 
 [[nodiscard]] static http::Request write(const store::TableScan &scan)
 {
-    // The range begins with its first key; the one after `after` is that text with the lowest letter added.
+    // The range includes its first key. The next key after `after` is that text with the lowest character appended.
     const std::string from = scan.after.empty() ? scan.prefix : scan.after + ' ';
     return get(fmt::format("/api/rows-get?table={}&part=&from={}&limit={}", ownTable, percentEncoded(from), scan.limit));
 }
@@ -93,7 +93,7 @@
     case preconditionFailed:
         return {ErrorCode::conflict, "a condition did not hold"};
     case tooManyRequests:
-        return {ErrorCode::rateLimited, "the store takes no more calls now"};
+        return {ErrorCode::rateLimited, "the store limits the rate of calls"};
     case serviceUnavailable:
         return {ErrorCode::unavailable, "the store is not available"};
     default:
@@ -146,7 +146,7 @@
     }
     const QJsonDocument document = QJsonDocument::fromJson(answer.body);
     if (!document.isObject()) {
-        return tl::unexpected{Error{ErrorCode::malformed, "the store's answer is no JSON object"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "the store's answer is not a JSON object"}};
     }
     return store::RowsReply{.rows = internal::rowsOf(document.object(), request)};
 }
@@ -169,7 +169,7 @@
     const QJsonDocument document = QJsonDocument::fromJson(answer.body);
     const QJsonValue position = document.object()[QLatin1String{"ver"}];
     if (!document.isObject() || !position.isDouble()) {
-        return tl::unexpected{Error{ErrorCode::malformed, "a page of the store without a version"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "the store's page has no version"}};
     }
     ConfigurationPage page;
     page.position = static_cast<std::uint64_t>(position.toInteger());
--- a/src/egretlatch/platform/store_wire.hpp
+++ b/src/egretlatch/platform/store_wire.hpp
@@ -16,45 +16,45 @@
 {
 
 /**
- * @brief Puts a request to the store into the platform's HTTP.
+ * @brief Converts a store request to the platform's HTTP.
  * @param request The request.
- * @return What to send, or nothing for a request about objects, which this platform is never asked for.
+ * @return The HTTP request; nothing for object requests, which are never sent to this platform.
  */
 [[nodiscard]] std::optional<http::Request> writeStoreRequest(const store::Request &request);
 
 /**
- * @brief Reads the store's answer to such a request.
+ * @brief Reads the store's answer to a request of writeStoreRequest().
  * @param request The request.
- * @param answer The whole answer.
- * @return The outcome, `timedOut` for a status that does not say whether anything was done.
+ * @param answer The complete answer.
+ * @return The outcome; `timedOut` for a status that leaves open if the request took effect.
  */
 [[nodiscard]] store::Outcome readStoreAnswer(const store::Request &request, const http::Response &answer);
 
-/*! @brief What the store says of the operators' table. */
+/*! @brief Page of changes to the operators' table. */
 struct ConfigurationPage
 {
-    /*! @brief Configurations in the page, oldest first, as the operators wrote them. */
+    /*! @brief Configurations of the page, oldest first, as the operators wrote them. */
     std::vector<QByteArray> documents;
-    /*! @brief Where the next look goes on from. */
+    /*! @brief Position that the next request continues from. */
     std::uint64_t position{};
 
     friend bool operator==(const ConfigurationPage &, const ConfigurationPage &) = default;
 };
 
-/*! @brief The request that reads what is in force now. */
+/*! @brief Returns the request that reads the current configuration. */
 [[nodiscard]] http::Request writeConfigurationRead();
 
 /**
- * @brief Gives the request that waits for a change.
- * @param position Where the last page ended.
- * @param wait Time that the store holds the request while there is none.
+ * @brief Returns the request that waits for a change.
+ * @param position End of the last page.
+ * @param wait Time that the store holds the request while there is no change.
  */
 [[nodiscard]] http::Request writeConfigurationLongPoll(std::uint64_t position, std::chrono::milliseconds wait);
 
 /**
- * @brief Reads the answer to either.
- * @param answer The whole answer.
- * @return The page; `notFound` if the store has dropped the changes since the position, `rateLimited` or `unavailable` if it
+ * @brief Reads the answer to a read or a long poll of the configuration.
+ * @param answer The complete answer.
+ * @return The page; `notFound` if the store has dropped changes since the position, `rateLimited` or `unavailable` if it
  *         refused, `malformed` if the page cannot be read.
  */
 [[nodiscard]] Result<ConfigurationPage> readConfigurationPage(const http::Response &answer);
--- a/src/egretlatch/sidecar/adaptive_options.cpp
+++ b/src/egretlatch/sidecar/adaptive_options.cpp
@@ -7,7 +7,8 @@
 {
 
 constexpr std::chrono::milliseconds shortestQueue{80};
-// For servers with a dozen slots: demand that is averaged over less is mostly noise, and cuts ranks above the one that is too much.
+// Suits backend servers with about a dozen slots. Demand averaged over a shorter window is mostly noise there, and the level
+// then refuses ranks above the one that exceeds capacity.
 constexpr admission::LevelTimes levelTimes{
     .demandWindow = std::chrono::milliseconds{600}, .shortestStep = std::chrono::milliseconds{100}, .longestStep = std::chrono::milliseconds{600}};
 
--- a/src/egretlatch/sidecar/adaptive_options.hpp
+++ b/src/egretlatch/sidecar/adaptive_options.hpp
@@ -8,9 +8,9 @@
 {
 
 /**
- * @brief Gives how daemons on the users' machines decide.
- * @param switchedOff What an experiment does without.
- * @return The options of the adaptive policy.
+ * @brief Returns the options of the adaptive policy for daemons on the platform's VMs.
+ * @param switchedOff Mechanisms that an experiment disables.
+ * @return The options.
  */
 [[nodiscard]] daemon::AdaptiveOptions adaptiveOptions(const settings::SwitchedOff &switchedOff);
 
--- a/src/egretlatch/sidecar/backend_runner.cpp
+++ b/src/egretlatch/sidecar/backend_runner.cpp
@@ -8,7 +8,7 @@
 namespace internal
 {
 
-// The decisions end a run at its deadline; this only frees the connection should they forget it.
+// The decision core aborts a run at its deadline. This later deadline only frees the connection if it fails to.
 constexpr std::chrono::milliseconds deadlineMargin{500};
 constexpr http::ReadLimits answerLimits{.headerBytes = 64U * 1024U, .bodyBytes = 64ULL * 1024U * 1024U};
 
--- a/src/egretlatch/sidecar/backend_runner.hpp
+++ b/src/egretlatch/sidecar/backend_runner.hpp
@@ -12,7 +12,7 @@
 namespace egretlatch::sidecar
 {
 
-/*! @brief Hands requests to the backend server on this VM and reads what it answers. */
+/*! @brief Sends requests to the backend server on this VM and reads its answers. */
 class BackendRunner
 {
 public:
@@ -23,24 +23,24 @@
      * @param poller Watches its sockets; must outlive it.
      * @param clock Source of time; must outlive it.
      * @param endpoint The backend server.
-     * @param onEnded Takes the end of each run that is not aborted.
+     * @param onEnded Called at the end of each run that is not aborted.
      */
     BackendRunner(net::Poller &poller, const Clock &clock, const net::Endpoint &endpoint, EndedHandler onEnded);
 
     /**
      * @brief Starts a run.
      * @param start The run.
-     * @param instance The life of the backend server that is to run it; empty if it is not known.
+     * @param instance Incarnation of the backend server that is to execute it; empty if unknown.
      */
     void start(const decision::StartRun &start, const std::string &instance);
 
     /**
-     * @brief Closes the connection of a run whose answer nobody waits for.
-     * @param execution The run; one that has ended is passed over.
+     * @brief Closes the connection of a run whose answer is no longer needed.
+     * @param execution The run; ignored if it has ended.
      */
     void abort(ExecutionId execution);
 
-    /*! @brief Drops the connections to a server whose life has ended. */
+    /*! @brief Closes connections without a request in flight, as they lead to an ended incarnation of the server. */
     void closeIdleConnections()
     {
         m_pool.closeFree();
--- a/src/egretlatch/sidecar/caller_frontend.cpp
+++ b/src/egretlatch/sidecar/caller_frontend.cpp
@@ -11,9 +11,9 @@
 {
 
 constexpr int notFound = 404;
-// A call whose time is over is refused by the decisions, like any other that comes too late.
+// An expired call keeps a minimal timeout, so that the decision core refuses it like any other late call.
 constexpr std::chrono::milliseconds minTimeout{1};
-// A daemon without a configuration has one within a second of reaching the store or another daemon.
+// A daemon receives its configuration within a second of reaching the store or another daemon.
 constexpr std::chrono::milliseconds retryWithoutConfiguration{1000};
 
 [[nodiscard]] static decision::CallerAnswer withoutConfiguration()
@@ -120,7 +120,7 @@
     call.parentName = std::move(caller.parentName);
     const manifest::KindSpec *const kind = m_manifest->findKind(call.service, call.kind);
     const auto waited = std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.steadyNow() - readAt);
-    // One that waited behind others until its time was over is told so as one that did not run.
+    // A request that expired while it waited behind others on its connection is refused as not run.
     call.timeout = std::max(std::min(caller.timeout.value_or(kind->deadline), kind->deadline) - waited, internal::minTimeout);
     m_onEvent(decision::CallArrived{.exchange = exchange, .call = std::move(call)});
 }
--- a/src/egretlatch/sidecar/caller_frontend.hpp
+++ b/src/egretlatch/sidecar/caller_frontend.hpp
@@ -16,19 +16,19 @@
 namespace egretlatch::sidecar
 {
 
-/*! @brief Takes plain HTTP requests of callers on this VM, finds their routes, and carries the answers back. */
+/*! @brief Accepts plain HTTP requests from callers on this VM, resolves their routes, and returns the answers. */
 class CallerFrontend
 {
 public:
     using EventHandler = std::function<void(decision::Event event)>;
 
     /**
-     * @brief Builds a front that does not listen yet.
+     * @brief Builds a frontend that does not listen yet.
      * @param poller Watches its sockets; must outlive it.
      * @param clock Source of time; must outlive it.
      * @param random Source of random numbers; must outlive it.
      * @param service Service of the backend server on this VM.
-     * @param onEvent Takes what callers do.
+     * @param onEvent Receives calls and disconnections of callers.
      */
     CallerFrontend(net::Poller &poller, const Clock &clock, RandomSource &random, std::string service, EventHandler onEvent);
 
@@ -38,20 +38,20 @@
     }
 
     /**
-     * @brief Routes requests by another configuration from now on.
+     * @brief Replaces the configuration that requests are routed by.
      * @param manifest The configuration.
      */
     void setManifest(std::shared_ptr<const manifest::Manifest> manifest);
 
-    /*! @brief Sets whether idempotent requests of one connection run beside one another. */
+    /*! @brief Enables or disables concurrent execution of idempotent requests of one connection. */
     void setOverlap(bool overlaps)
     {
         m_overlaps = overlaps;
     }
 
     /**
-     * @brief Answers a request.
-     * @param order The answer.
+     * @brief Answers a request; does nothing if the caller has disconnected.
+     * @param action Exchange and answer.
      */
     void answer(const decision::AnswerCaller &action);
 
@@ -70,7 +70,7 @@
     routing::WeightedTargets m_targets;
     std::shared_ptr<const manifest::Manifest> m_manifest;
     bool m_overlaps{true};
-    /*! @brief Names of the requests that are under way. */
+    /*! @brief Names of the requests in flight. */
     std::unordered_map<ExchangeId, std::string> m_names;
     http::Server m_server;
 };
--- a/src/egretlatch/sidecar/configuration_feed.cpp
+++ b/src/egretlatch/sidecar/configuration_feed.cpp
@@ -9,11 +9,12 @@
 {
 
 constexpr std::chrono::milliseconds readTimeout{2000};
-// Below the shortest history that the store keeps, twenty seconds, so that the next call finds where it goes on.
+// Below the shortest history that the store keeps, 20 s, so that the next call still finds the position it continues from.
 constexpr std::chrono::milliseconds longPollWait{14'000};
 constexpr std::chrono::milliseconds longPollTimeout{16'000};
 constexpr std::chrono::milliseconds minRetryDelay{200};
-// Calls to a store that refuses are charged and bring nothing; back within two seconds of its return all the same.
+// Refused calls are charged and return nothing, so they back off. The limit lets the feed resume within two seconds of the
+// store's recovery.
 constexpr std::chrono::milliseconds maxRetryDelay{1500};
 
 } // namespace internal
@@ -61,7 +62,7 @@
     for (const QByteArray &document : page->documents) {
         m_onDocument(document);
     }
-    // A store that answers at once with nothing new must not be asked in a circle.
+    // Prevents a busy loop when the store answers at once with an empty page.
     m_nextCall = page->documents.empty() ? m_clock.steadyNow() + internal::minRetryDelay : m_clock.steadyNow();
     tick();
 }
--- a/src/egretlatch/sidecar/configuration_feed.hpp
+++ b/src/egretlatch/sidecar/configuration_feed.hpp
@@ -13,10 +13,10 @@
 {
 
 /**
- * @brief Follows what the operators write, by calls that the store holds until there is something new.
+ * @brief Follows the operators' configuration by long polling of the store.
  *
- * One call is out at a time. A connection that goes silent under it is ended by the probes of `net::TcpStream`, and the call
- * is made again; other daemons tell of a newer configuration meanwhile.
+ * At most one call is pending. If its connection goes silent, the probes of `net::TcpStream` close it and the call is repeated;
+ * meanwhile, other daemons report newer configurations.
  */
 class ConfigurationFeed
 {
@@ -24,15 +24,15 @@
     using DocumentHandler = std::function<void(const QByteArray &document)>;
 
     /**
-     * @brief Builds a feed that has not begun.
-     * @param client Carries the calls; must outlive it.
+     * @brief Builds a feed; the first tick() sends the first call.
+     * @param client Sends the calls; must outlive it.
      * @param clock Source of time; must outlive it.
      * @param random Source of jitter; must outlive it.
-     * @param onDocument Takes each document as the operators wrote it.
+     * @param onDocument Receives each document as the operators wrote it.
      */
     ConfigurationFeed(StoreClient &client, const Clock &clock, RandomSource &random, DocumentHandler onDocument);
 
-    /*! @brief Sends the next call if none is out and it is time for one; to be called a few times a second. */
+    /*! @brief Sends the next call if none is pending and one is due; to be called a few times a second. */
     void tick();
 
 private:
@@ -44,7 +44,7 @@
     RandomSource &m_random;
     DocumentHandler m_onDocument;
     store::Backoff m_backoff;
-    /*! @brief Nothing before the first page, and after the store has dropped the history behind it. */
+    /*! @brief Position in the store's history; empty before the first page and after the store has dropped that part of its history. */
     std::optional<std::uint64_t> m_position;
     SteadyTime m_nextCall;
     bool m_isCallPending{};
--- a/src/egretlatch/sidecar/gauges.cpp
+++ b/src/egretlatch/sidecar/gauges.cpp
@@ -13,7 +13,7 @@
 namespace internal
 {
 
-// Resident memory as the kernel counts it, or nothing where it does not say.
+// Returns the resident memory that the kernel reports, or nothing if it cannot be read.
 [[nodiscard]] static std::optional<double> residentBytes()
 {
     std::ifstream statm{"/proc/self/statm"};
--- a/src/egretlatch/sidecar/gauges.hpp
+++ b/src/egretlatch/sidecar/gauges.hpp
@@ -8,21 +8,21 @@
 namespace egretlatch::sidecar
 {
 
-/*! @brief What the gauges are read from, beside the core. */
+/*! @brief Gauge values that do not come from the decision core. */
 struct GaugeSources
 {
     int slots{};
-    /*! @brief Since when the configuration in force is; nothing without one. */
+    /*! @brief Time at which the current configuration came into force; empty without one. */
     std::optional<SteadyTime> inForceSince;
     std::uint64_t logLinesLeftOut{};
 };
 
 /**
- * @brief Sets all numbers that go up and down, as they stand now.
- * @param core Read for load, members, configuration and retries.
- * @param sources The rest.
+ * @brief Sets all gauges to their current values.
+ * @param core Source of load, members, configuration and retries.
+ * @param sources Values from elsewhere.
  * @param now Current time.
- * @param metrics Takes the numbers.
+ * @param metrics Receives the gauges.
  */
 void setGauges(const decision::Core &core, const GaugeSources &sources, SteadyTime now, account::MetricsSink &metrics);
 
--- a/src/egretlatch/sidecar/level_log.cpp
+++ b/src/egretlatch/sidecar/level_log.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr std::chrono::seconds minInterval{1};
-// Part of a class.
+// Fraction of a rank class.
 constexpr double minFractionChange = 0.1;
 
 } // namespace internal
@@ -29,7 +29,7 @@
 
 void LevelLog::write(const admission::LoadReport &load, const std::vector<account::Figure> &figures, const SteadyTime now)
 {
-    m_logger.info("level moved",
+    m_logger.info("admission level changed",
                   {{"priority", load.level.priority},
                    {"densityClass", load.level.density},
                    {"fraction", load.level.fraction},
--- a/src/egretlatch/sidecar/level_log.hpp
+++ b/src/egretlatch/sidecar/level_log.hpp
@@ -12,28 +12,28 @@
 namespace egretlatch::sidecar
 {
 
-/*! @brief Writes how the level of the backend server beside moves, at most once a second. */
+/*! @brief Logs changes of the local backend server's admission level, at most once a second. */
 class LevelLog
 {
 public:
     /**
-     * @brief Builds it; nothing has been written.
-     * @param logger Where the lines go; must outlive it.
+     * @brief Builds the log; no line has been written yet.
+     * @param logger Receives the lines; must outlive it.
      */
     explicit LevelLog(const Logger &logger);
 
     /**
-     * @brief Says whether a line is due.
-     * @param level The level as it is.
+     * @brief Checks if a line is due.
+     * @param level Current level.
      * @param now Current time.
-     * @return True if it has moved by a class, or by much of one, since the last line, and that line is old enough.
+     * @return True if the last line is at least a second old and the level has changed by a rank class, or by a tenth of one, since.
      */
     [[nodiscard]] bool isDue(const admission::Level &level, SteadyTime now) const;
 
     /**
      * @brief Writes a line.
-     * @param load What the gate sees.
-     * @param figures What its level is decided by.
+     * @param load Load and level that the admission gate reports.
+     * @param figures Values that determine the level.
      * @param now Current time.
      */
     void write(const admission::LoadReport &load, const std::vector<account::Figure> &figures, SteadyTime now);
--- a/src/egretlatch/sidecar/report_handler.cpp
+++ b/src/egretlatch/sidecar/report_handler.cpp
@@ -25,7 +25,7 @@
     const Result<platform::ServerReport> report = platform::readServerReport(request);
     if (!report.has_value()) {
         const bool isUnknown = report.error().code == ErrorCode::notFound;
-        m_logger.warning("report not taken", {{"reason", report.error().message}});
+        m_logger.warning("server report rejected", {{"reason", report.error().message}});
         return {.answer = http::bareResponse(isUnknown ? internal::notFound : internal::badRequest), .event = std::nullopt};
     }
     const std::string previousIncarnation = m_server.incarnationName();
@@ -33,7 +33,7 @@
     record(*report, effect);
     const bool isNewIncarnation = m_server.incarnationName() != previousIncarnation;
     if (isNewIncarnation) {
-        m_logger.info("backend server's life began", {{"instance", m_server.instance()}, {"born", report->startedAtMs}, {"slots", m_server.slots()}});
+        m_logger.info("new backend server incarnation", {{"instance", m_server.instance()}, {"born", report->startedAtMs}, {"slots", m_server.slots()}});
     }
     return {.answer = platform::acknowledgement(), .event = eventOf(*report, effect), .isNewIncarnation = isNewIncarnation};
 }
@@ -74,7 +74,7 @@
                    {"sequence", report.sequence},
                    {"state", platform::toString(report.state)},
                    {"effect", toString(effect)},
-                   {"presentLife", m_server.incarnationName()}});
+                   {"currentIncarnation", m_server.incarnationName()}});
 }
 
 } // namespace egretlatch::sidecar
--- a/src/egretlatch/sidecar/report_handler.hpp
+++ b/src/egretlatch/sidecar/report_handler.hpp
@@ -14,37 +14,37 @@
 namespace egretlatch::sidecar
 {
 
-/*! @brief What a report of the backend server leads to. */
+/*! @brief Result of handling a report of the backend server. */
 struct HandledReport
 {
     http::Response answer;
-    /*! @brief What is decided upon, before the answer goes out; nothing for a report without effect. */
+    /*! @brief Event for the decision core, to be posted before the answer is sent; empty for a report without effect. */
     std::optional<decision::Event> event;
-    /*! @brief Another life of the server has begun, so that connections to the one before lead nowhere. */
+    /*! @brief True if the report starts a new incarnation of the server, so that connections to the previous one are dead. */
     bool isNewIncarnation{};
 };
 
-/*! @brief Reads the reports of the backend server on this VM, follows its lives by them, and says so in the log. */
+/*! @brief Reads the reports of the backend server on this VM, tracks its incarnations, and logs changes. */
 class ReportHandler
 {
 public:
-    /*! @brief Says whether a life has said that it leaves, to whichever life of this daemon. */
+    /*! @brief Checks if an incarnation has announced that it leaves, to this or an earlier incarnation of this daemon. */
     using HasLeft = std::function<bool(const std::string &incarnation)>;
 
     /**
-     * @brief Builds it without a server.
-     * @param service Service that the server here belongs to.
-     * @param address Where it listens, as `ADDRESS:PORT`.
-     * @param logger Where the lines go; must outlive it.
+     * @brief Builds a handler that knows no server yet.
+     * @param service Service of the backend server on this VM.
+     * @param address Address that it listens on, as `ADDRESS:PORT`.
+     * @param logger Receives the lines; must outlive it.
      * @param metrics Counts the reports by their effect; must outlive it.
-     * @param hasLeft Asked of a life that says that it serves.
+     * @param hasLeft Consulted for an incarnation that reports that it is serving.
      */
     ReportHandler(std::string service, std::string address, const Logger &logger, account::MetricsSink &metrics, HasLeft hasLeft);
 
     /**
-     * @brief Takes a report.
-     * @param request What came in.
-     * @return What it leads to; the answer is an error for what is no report.
+     * @brief Handles a report.
+     * @param request The HTTP request.
+     * @return The answer and its effects; the answer is an error if the request is not a valid report.
      */
     [[nodiscard]] HandledReport handle(const http::Request &request);
 
@@ -63,7 +63,7 @@
     const Logger &m_logger;
     account::MetricsSink &m_metrics;
     HasLeft m_hasLeft;
-    /*! @brief What the last report led to; nothing before the first. */
+    /*! @brief Effect of the last logged report; empty before the first. */
     std::optional<ReportEffect> m_lastEffect;
 };
 
--- a/src/egretlatch/sidecar/request_log.hpp
+++ b/src/egretlatch/sidecar/request_log.hpp
@@ -7,13 +7,13 @@
 namespace egretlatch::sidecar
 {
 
-/*! @brief Writes the lines that tell what became of single requests; `explain --log` reads them. */
+/*! @brief Logs the outcome of individual requests; `explain --log` reads these lines. */
 class RequestLog
 {
 public:
     /**
      * @brief Builds the log.
-     * @param logger Takes the lines; must outlive it.
+     * @param logger Receives the lines; must outlive it.
      */
     explicit RequestLog(const Logger &logger)
         : m_logger{logger}
@@ -21,14 +21,14 @@
     }
 
     /**
-     * @brief Writes that a caller got a refusal.
+     * @brief Logs a refusal that a caller received.
      * @param refused The refusal.
      */
     void write(const decision::RecordRefusal &refused) const;
 
     /**
-     * @brief Writes what else happened to a request.
-     * @param note What happened.
+     * @brief Logs any other event of a request.
+     * @param entry The event.
      */
     void write(const decision::NoteRequest &entry) const;
 
--- a/src/egretlatch/sidecar/server_tracker.cpp
+++ b/src/egretlatch/sidecar/server_tracker.cpp
@@ -62,7 +62,7 @@
     }
     m_sequence = report.sequence;
     m_slots = report.slots;
-    // A server that has said that it leaves does not come back within the same life.
+    // A server that has announced that it leaves does not return within the same incarnation.
     m_isLeaving = m_isLeaving || report.state == platform::ServerReportState::draining;
     return m_isLeaving ? ReportEffect::leaving : ReportEffect::serving;
 }
@@ -88,14 +88,15 @@
     if (report.instance == m_instance && report.startedAtMs == m_startedAtMs) {
         return report.sequence <= m_sequence;
     }
-    // Of two lives at one address the later one is the present one.
+    // Of two incarnations at one address, the one that started later is current.
     if (report.startedAtMs != 0 && m_startedAtMs != 0) {
         return report.startedAtMs < m_startedAtMs;
     }
     return !report.instance.empty() && report.instance == m_previousInstance && !isStillReporting(report);
 }
 
-// Without times of start, the order in which two lives are first heard of may be wrong; the one that goes on reporting lives.
+// Without start times, the first reports of two incarnations may arrive in the wrong order. The one that keeps reporting is the
+// one that is alive.
 bool ServerTracker::isStillReporting(const platform::ServerReport &report) const
 {
     return m_supersededReport.has_value() && m_supersededReport->instance == report.instance && report.sequence > m_supersededReport->sequence;
--- a/src/egretlatch/sidecar/server_tracker.hpp
+++ b/src/egretlatch/sidecar/server_tracker.hpp
@@ -10,74 +10,74 @@
 namespace egretlatch::sidecar
 {
 
-/*! @brief What a report of the backend server leads to. */
+/*! @brief Effect of a report of the backend server. */
 enum class ReportEffect {
-    /*! @brief It names another service or address; nothing changes. */
+    /*! @brief The report names another service or address; nothing changes. */
     ofAnotherServer,
-    /*! @brief It is the farewell of a life that is not the present one, heard of or not. */
+    /*! @brief Deregistration of an incarnation other than the current one, known or not. */
     leavingElsewhere,
-    /*! @brief It is older than what is known; nothing changes. */
+    /*! @brief The report is older than the known state; nothing changes. */
     late,
-    /*! @brief The server takes work. */
+    /*! @brief The server accepts new requests. */
     serving,
-    /*! @brief The server takes no more work. */
+    /*! @brief The server accepts no new requests. */
     leaving,
 };
 
 /**
- * @brief Gives an effect as text.
+ * @brief Returns an effect as text.
  * @param effect The effect.
  * @return Its name in logs and metrics.
  */
 [[nodiscard]] std::string_view toString(ReportEffect effect) noexcept;
 
 /**
- * @brief Follows the lives of the backend server on this VM by its reports.
+ * @brief Tracks the incarnations of the backend server on this VM by its reports.
  *
- * Reports come late and out of order: one that a partition held up may speak of a life that has ended, under the same
- * address and even the same id. A life is told by its id and time of start, and reports within it by their number.
+ * Reports arrive late and out of order: one that a partition delayed may come from an ended incarnation with the same address
+ * and even the same id. An incarnation is identified by id and start time; its reports are ordered by sequence number.
  */
 class ServerTracker
 {
 public:
     /**
-     * @brief Builds it without a server.
-     * @param service Service that the server here belongs to.
-     * @param address Where it listens, as `ADDRESS:PORT`.
+     * @brief Builds a tracker that knows no server yet.
+     * @param service Service of the backend server on this VM.
+     * @param address Address that it listens on, as `ADDRESS:PORT`.
      */
     ServerTracker(std::string service, std::string address);
 
     /**
-     * @brief Takes a report.
+     * @brief Updates the state by a report.
      * @param report The report.
-     * @return What it leads to.
+     * @return Its effect.
      */
     [[nodiscard]] ReportEffect update(const platform::ServerReport &report);
 
-    /*! @brief Id that the server of the present life goes by; empty if none is known. */
+    /*! @brief Instance id of the current incarnation; empty if none is known. */
     [[nodiscard]] const std::string &instance() const noexcept
     {
         return m_instance;
     }
 
-    /*! @brief Tells the present life from all others. */
+    /*! @brief Unique name of the current incarnation. */
     [[nodiscard]] std::string incarnationName() const;
 
     /**
-     * @brief Names the life that a report speaks of.
-     * @param report A report that was taken.
-     * @return The name, as of `incarnationName`.
+     * @brief Returns the name of the incarnation that a report comes from.
+     * @param report A report that was passed to update().
+     * @return The name, in the form of incarnationName().
      */
     [[nodiscard]] std::string incarnationNameOf(const platform::ServerReport &report) const;
 
-    /*! @brief Requests that the server runs at a time. */
+    /*! @brief Maximum number of concurrent requests of the server. */
     [[nodiscard]] int slots() const noexcept
     {
         return m_slots;
     }
 
 private:
-    /*! @brief A life that reports again after another has taken its place. */
+    /*! @brief Report of an incarnation that another one has superseded. */
     struct SupersededReport
     {
         std::string instance;
@@ -96,9 +96,9 @@
     std::int64_t m_sequence{-1};
     int m_slots{};
     bool m_isLeaving{};
-    /*! @brief Id of the life before the present one, whose reports may still come. */
+    /*! @brief Instance id of the previous incarnation, whose reports may still arrive. */
     std::string m_previousInstance;
-    /*! @brief Who reported last, if it was the earlier life and not the present one. */
+    /*! @brief Last report received, if it came from a superseded incarnation and not from the current one. */
     std::optional<SupersededReport> m_supersededReport;
 };
 
--- a/src/egretlatch/sidecar/shutdown_times.cpp
+++ b/src/egretlatch/sidecar/shutdown_times.cpp
@@ -8,12 +8,12 @@
 namespace internal
 {
 
-// The platform asks for readiness once a second and sends callers elsewhere after two answers that are not good.
+// The platform probes readiness once a second and redirects callers after two failed probes.
 constexpr std::chrono::milliseconds minNotice{2000};
-// A third of a second for answers of the platform that come late.
+// Adds 0.3 s for late probes of the platform.
 constexpr std::chrono::milliseconds maxNotice{2300};
-// Part of the time, in hundredths, after which the process ends by itself; the platform counts a request that is still at its
-// server in the last sixth as not cut off.
+// Percentage of the grace period after which the process exits. The platform does not count a request as cut off that is still
+// at its server in the last sixth of the period.
 constexpr int exitPercent = 85;
 constexpr int hundredPercent = 100;
 
--- a/src/egretlatch/sidecar/shutdown_times.hpp
+++ b/src/egretlatch/sidecar/shutdown_times.hpp
@@ -6,25 +6,25 @@
 namespace egretlatch::sidecar
 {
 
-/*! @brief What a daemon does when, from the signal to end. */
+/*! @brief Phases of a daemon's shutdown, measured from the termination signal. */
 struct ShutdownTimes
 {
-    /*! @brief Until then new requests are served: callers, and daemons that know of no other, may still come. */
+    /*! @brief End of accepting new requests: until then callers, and daemons that know no other server, may still send some. */
     std::chrono::milliseconds notice{};
-    /*! @brief When the process ends at the latest, whatever is under way. */
+    /*! @brief Latest exit of the process, regardless of requests in flight. */
     std::chrono::milliseconds end{};
 
     friend bool operator==(const ShutdownTimes &, const ShutdownTimes &) = default;
 };
 
 /**
- * @brief Divides the time that the platform gives a daemon to end.
+ * @brief Divides the platform's grace period into the phases of a shutdown.
  *
- * Guards against requests that are cut off at the end of a shutdown: one that came as the notice ended, and takes as long as
- * its route allows, must end before the process does.
- * @param grace From the signal to the end that is not asked.
+ * Prevents requests from being cut off by the exit: one that arrives at the end of the notice and takes the whole timeout of
+ * its route must complete before the process exits.
+ * @param grace Time from the termination signal to the forced kill.
  * @param maxTimeout Longest timeout of a route.
- * @return The times.
+ * @return The phases; the notice has a lower bound, so a request with a long timeout may still be cut off.
  */
 [[nodiscard]] ShutdownTimes shutdownTimes(std::chrono::milliseconds grace, std::chrono::milliseconds maxTimeout);
 
--- a/src/egretlatch/sidecar/sidecar.cpp
+++ b/src/egretlatch/sidecar/sidecar.cpp
@@ -20,15 +20,15 @@
 {
 
 constexpr std::chrono::milliseconds maintenanceInterval{100};
-// Part of what the fleet may repeat that daemons use; the rest is for what they count differently than its servers: daemons
-// that start anew, and calls that never arrive.
+// Share of the fleet's retry budget that daemons use. The rest absorbs differences between their counts and those of the
+// servers, caused by daemons that restart and by calls that never arrive.
 constexpr double usedShareOfRetries = 0.8;
-// Part of the time, in hundredths, that the platform gives from a server's word that it leaves to its last request. What
-// waits at the door when it closes is sent on within the rest.
+// Percentages of the time that the platform allows from a server's report that it leaves to its last request: end of accepting
+// requests, and last start of a queued one. Requests still queued at the end of accepting are forwarded within the rest.
 constexpr int hundredPercent = 100;
 constexpr int acceptPercent = 40;
 constexpr int lastStartPercent = 80;
-// Others are known half a second after a start; the platform asks for readiness once a second.
+// Other daemons are discovered within half a second of a start; the platform probes readiness once a second.
 constexpr std::chrono::milliseconds maxDiscoveryWait{1500};
 constexpr const char *metricsPath = "/metrics";
 constexpr int ok = 200;
@@ -137,7 +137,7 @@
     builder.setEntryRules({.countsOnlyArrivals = true, .retrySlack = m_bounds.retrySlack * usedShareOfRetries(), .traces = false});
     builder.setDoorTimes({
         .afterReport = internal::acceptPercent * m_bounds.drain / internal::hundredPercent,
-        // The server beside this daemon goes on, so the door stays open for daemons that know of no other.
+        // The local backend server keeps running, so requests of daemons that know no other server are still accepted.
         .afterSignal = shutdownTimes(m_bounds.grace, {}).notice,
         .lastStart = internal::lastStartPercent * m_bounds.drain / internal::hundredPercent,
     });
@@ -176,9 +176,9 @@
         return listening;
     }
     if (m_settings.metrics.has_value()) {
-        // Without the metrics the daemon still serves, so an address that cannot be had does not end it.
+        // The daemon can serve without metrics, so failure to bind this address is not fatal.
         if (const Result<void> listening = m_metricsServer.listen(*m_settings.metrics); !listening.has_value()) {
-            m_logger.warning("no metrics", {{"reason", listening.error().message}});
+            m_logger.warning("metrics endpoint not available", {{"reason", listening.error().message}});
         }
     }
     return m_readiness.listen(m_settings.readiness);
@@ -249,12 +249,12 @@
     } else if (const auto *const changed = std::get_if<decision::MemberChanged>(&action)) {
         m_logger.info("member changed", {{"member", changed->id.value}, {"state", membership::toString(changed->state)}});
     } else if (const auto *const departure = std::get_if<decision::DepartureHeard>(&action)) {
-        m_logger.info("departure heard", {{"instance", departure->instance}});
+        m_logger.info("departure reported", {{"instance", departure->instance}});
     } else if (const auto *const raised = std::get_if<decision::LifeRaised>(&action)) {
-        m_logger.warning("life raised", {{"from", raised->from.value}, {"to", raised->to.value}});
+        m_logger.warning("incarnation raised", {{"from", raised->from.value}, {"to", raised->to.value}});
         m_peers.beginLife(raised->to);
     } else if (std::holds_alternative<decision::Drained>(action)) {
-        stop("nothing is under way");
+        stop("no requests in flight");
     }
 }
 
@@ -296,7 +296,7 @@
         post(decision::ServerDraining{.isShutdown = true, .isSignal = true});
     }
     if (sinceDrain >= times.end) {
-        stop("the time to drain is over");
+        stop("drain time limit reached");
     }
 }
 
@@ -329,7 +329,7 @@
     if (handled.isNewIncarnation) {
         m_backend.closeIdleConnections();
     }
-    // Before the acknowledgement: from then on no new request may reach a server that leaves.
+    // Posted before the acknowledgement, after which no new request may reach a leaving server.
     if (handled.event.has_value()) {
         post(std::move(*handled.event));
     }
@@ -347,8 +347,8 @@
 
 bool Sidecar::isReady() const
 {
-    // One that knows no other daemon yet would turn away what is for any service but its own. Where it finds nobody it serves
-    // what it can.
+    // A daemon that has not discovered others yet would refuse requests for every service but its own. If it finds none in time,
+    // it becomes ready and serves what it can.
     const bool isDiscoveryDone = !m_core->roster().participants().empty() || m_clock.steadyNow() - m_startedAt >= internal::maxDiscoveryWait;
     return m_inForceSince.has_value() && isDiscoveryDone && !m_drainSince.has_value();
 }
--- a/src/egretlatch/sidecar/sidecar.hpp
+++ b/src/egretlatch/sidecar/sidecar.hpp
@@ -28,18 +28,19 @@
 {
 
 /**
- * @brief A daemon on a VM that the platform runs.
+ * @brief Daemon on a VM of the platform.
  *
- * Callers, the backend server, the store, the other daemons and the decisions share one event loop: on a part of one core
- * each hand-over to another thread is a wake-up and a system call that buys no parallel work.
+ * Connections to callers, the backend server, the store and other daemons share one event loop with the decision core. With
+ * only part of a processor core available, handing work to another thread costs a wake-up and a system call and gains no
+ * parallelism.
  */
 class Sidecar
 {
 public:
     /**
-     * @brief Builds a daemon that does nothing yet.
-     * @param settings Its settings.
-     * @param onEnded Called once it has drained, or has had its time for that.
+     * @brief Builds a daemon that is not started yet.
+     * @param settings Settings of the daemon.
+     * @param onEnded Called once it has drained, or when the time limit for that has passed.
      */
     Sidecar(settings::SidecarSettings settings, std::function<void()> onEnded);
     Sidecar(const Sidecar &) = delete;
@@ -47,17 +48,17 @@
     ~Sidecar();
 
     /**
-     * @brief Begins to listen and to look for the fleet.
-     * @return Nothing, or why an address cannot be had.
+     * @brief Starts listening and discovering the fleet.
+     * @return Nothing, or the error if an address cannot be bound.
      */
     [[nodiscard]] Result<void> start();
 
-    /*! @brief Takes itself out of the fleet, finishes what is under way, and ends. */
+    /*! @brief Leaves the fleet, completes requests in flight, and ends. */
     void drain();
 
     /**
-     * @brief Takes changed settings; addresses stay as they are until the next start.
-     * @param settings The settings.
+     * @brief Applies the changed bounds; all other settings take effect at the next start.
+     * @param settings The new settings.
      */
     void reload(const settings::SidecarSettings &settings);
 
@@ -110,7 +111,7 @@
     SteadyTime m_startedAt;
     std::optional<SteadyTime> m_drainSince;
     bool m_isHandling{};
-    /*! @brief Since when the configuration in force is; nothing without one. */
+    /*! @brief Time at which the current configuration came into force; empty without one. */
     std::optional<SteadyTime> m_inForceSince;
     bool m_isShuttingDown{};
     bool m_hasEnded{};
--- a/src/egretlatch/sidecar/store_client.cpp
+++ b/src/egretlatch/sidecar/store_client.cpp
@@ -8,7 +8,7 @@
 namespace internal
 {
 
-// The store answers in milliseconds; one that is slow by sixty times still answers in time.
+// The store normally answers within milliseconds; even one slowed down sixtyfold answers within this limit.
 constexpr std::chrono::milliseconds answerTimeout{2000};
 constexpr int firstServerError = 500;
 constexpr int badRequest = 400;
@@ -59,7 +59,7 @@
 {
     const std::optional<http::Request> call = platform::writeStoreRequest(request);
     if (!call.has_value()) {
-        onOutcome(tl::unexpected{Error{ErrorCode::unavailable, "this platform is asked for no objects"}});
+        onOutcome(tl::unexpected{Error{ErrorCode::unavailable, "object requests are not supported on this platform"}});
         return;
     }
     this->call(*call, internal::answerTimeout, [request, onOutcome = std::move(onOutcome)](const http::Outcome &result) {
@@ -94,7 +94,7 @@
         if (isLost) {
             m_logger.warning("store lost", {{"outcome", name}});
         } else {
-            m_logger.info("store back");
+            m_logger.info("store reachable again");
         }
     }
 }
--- a/src/egretlatch/sidecar/store_client.hpp
+++ b/src/egretlatch/sidecar/store_client.hpp
@@ -12,7 +12,7 @@
 namespace egretlatch::sidecar
 {
 
-/*! @brief Asks the platform's store. A write is sent at most once. Lives on one thread with an event loop. */
+/*! @brief Client of the platform's store. Sends a write at most once. Must be used on one thread, with an event loop. */
 class StoreClient
 {
 public:
@@ -23,23 +23,23 @@
      * @param poller Watches its sockets; must outlive it.
      * @param clock Source of time; must outlive it.
      * @param endpoint The store.
-     * @param logger Takes a line when the store is lost and when it is back; must outlive it.
+     * @param logger Receives a line when the store becomes unreachable and when it is reachable again; must outlive it.
      * @param metrics Counts the calls by their outcome; must outlive it.
      */
     StoreClient(net::Poller &poller, const Clock &clock, const net::Endpoint &endpoint, const Logger &logger, account::MetricsSink &metrics);
 
     /**
-     * @brief Asks for rows, or writes some; the outcome comes exactly once, perhaps before this returns.
-     * @param request What is asked; requests about objects are `unavailable` here.
-     * @param onOutcome Takes the outcome.
+     * @brief Reads or writes rows.
+     * @param request The request; requests for objects fail with `unavailable`.
+     * @param onOutcome Receives the outcome; called exactly once, possibly before this returns.
      */
     void execute(const store::Request &request, std::function<void(store::Outcome)> onOutcome);
 
     /**
-     * @brief Sends a call that waits for its answer on purpose.
-     * @param request The call.
-     * @param timeout Time after which it counts as unanswered.
-     * @param onAnswer Takes the answer; called exactly once.
+     * @brief Sends an HTTP request with its own timeout, such as a long poll.
+     * @param request The HTTP request.
+     * @param timeout Time after which it fails as unanswered.
+     * @param onAnswer Receives the outcome; called exactly once.
      */
     void call(const http::Request &request, std::chrono::milliseconds timeout, AnswerHandler onAnswer);
 
--- a/test/egretlatch/platform/wire.cpp
+++ b/test/egretlatch/platform/wire.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("an operators' document becomes a manifest with routes")
+TEST_CASE("an operators' document is converted to a manifest with routes")
 {
     const auto accepted = platform::readConfiguration(document, 0.1);
     REQUIRE(accepted.has_value());
@@ -71,17 +71,17 @@
     CHECK(manifest.callerLimits().bodyBytes == 67108864);
 }
 
-TEST_CASE("what is no configuration changes nothing")
+TEST_CASE("an invalid configuration document is rejected")
 {
     for (const QByteArray &text : {QByteArray{"{"}, QByteArray{"[]"}, QByteArray{R"({"version":"zz","resources":[]})"}, QByteArray{R"({"version":"1"})"}}) {
         CHECK_FALSE(platform::readConfiguration(text, 0.1).has_value());
     }
-    rc::check("any bytes are read or refused", [](const std::string &bytes) {
+    rc::check("arbitrary bytes are parsed or rejected", [](const std::string &bytes) {
         static_cast<void>(platform::readConfiguration(QByteArray::fromStdString(bytes), 0.1));
     });
 }
 
-TEST_CASE("a heartbeat is read strictly")
+TEST_CASE("a heartbeat with an invalid field is rejected")
 {
     const QByteArray good{
         R"({"address":"10.0.0.1:80","born":1790000000000,"info":{"service":"one","version":"v1","zone":"z","slots":60},"status":{"state":"draining","seq":4,"cold_remaining":"1.5s"}})"};
@@ -103,12 +103,12 @@
         CAPTURE(change.first.toStdString());
         CHECK_FALSE(platform::readServerReport(heartbeat(QByteArray{good}.replace(change.first, change.second))).has_value());
     }
-    rc::check("any bytes are read or refused", [](const std::string &bytes) {
+    rc::check("arbitrary bytes are parsed or rejected", [](const std::string &bytes) {
         static_cast<void>(platform::readServerReport(heartbeat(QByteArray::fromStdString(bytes))));
     });
 }
 
-TEST_CASE("a farewell needs no body, and other paths are no reports")
+TEST_CASE("a deregistration needs no body, and other paths are not reports")
 {
     http::Request request;
     request.method = "POST";
@@ -121,7 +121,7 @@
     CHECK(platform::readServerReport(request).error().code == ErrorCode::notFound);
 }
 
-TEST_CASE("spans of time are read with their unit")
+TEST_CASE("durations are parsed with their unit")
 {
     CHECK(platform::parseDuration("1500ms") == 1500ms);
     CHECK(platform::parseDuration("2.5s") == 2500ms);
@@ -131,7 +131,7 @@
     }
 }
 
-TEST_CASE("unknown bounds and values that cannot be read leave the defaults")
+TEST_CASE("unknown bounds and invalid values keep the defaults")
 {
     const settings::FleetBounds defaults;
     const settings::FleetBounds bounds = platform::readBounds({"grace=7s", "budget_slack=47", "retry_budget_ratio=x", "unknown=1", "torn"});
@@ -140,7 +140,7 @@
     CHECK(bounds.retryRatio == doctest::Approx(defaults.retryRatio));
 }
 
-TEST_CASE("a server's answer is passed on only where it is the server's word")
+TEST_CASE("an answer is forwarded only if it is the server's own")
 {
     using decision::RunFailure;
     const auto failureOf = [](const http::Response &response) {
@@ -153,15 +153,15 @@
     CHECK_FALSE(failureOf(answer(404, {stamp})).has_value());
     CHECK(failureOf(answer(503, {{.name = "X-Not-Executed", .value = "1"}})) == RunFailure::rejected);
     CHECK(failureOf(answer(421, {{.name = "X-Not-Executed", .value = "1"}})) == RunFailure::rejected);
-    // Without the mark the server has not said that nothing ran, and passed on the status would say so.
+    // Without X-Not-Executed the server has not confirmed that nothing ran, but the forwarded status would promise that.
     CHECK(failureOf(answer(503, {stamp})) == RunFailure::lost);
     CHECK(failureOf(answer(429, {stamp})) == RunFailure::lost);
-    // Bytes that a fault put there: no signature, or an encoding that nobody asked for.
+    // Answers altered by a fault: no signature, or an encoding that was not requested.
     CHECK(failureOf(answer(200, {})) == RunFailure::lost);
     CHECK(failureOf(answer(200, {stamp, {.name = "Content-Encoding", .value = "gzip"}})) == RunFailure::lost);
 }
 
-TEST_CASE("a refusal promises that nothing ran only where that is so")
+TEST_CASE("a refusal promises that the request did not run only if its verdict says so")
 {
     decision::CallerAnswer refused;
     refused.verdict = Verdict::notRun;
@@ -181,7 +181,7 @@
     CHECK(platform::writeAnswer(refused, "abc").status == 502);
 }
 
-TEST_CASE("a caller's request is read without trusting it")
+TEST_CASE("forged headers of a caller's request are dropped, and an invalid timeout is ignored")
 {
     http::Request request;
     request.target = "/a/b?x=1";
@@ -203,7 +203,7 @@
     CHECK_FALSE(platform::readCaller(request).timeout.has_value());
 }
 
-TEST_CASE("requests to the store are written in its words, and its answers read")
+TEST_CASE("store requests are encoded, and the store's answers decoded")
 {
     const store::Request scan = store::TableScan{.prefix = "contact/", .after = {}, .limit = 16};
     const auto request = platform::writeStoreRequest(scan);
@@ -221,11 +221,11 @@
     CHECK(platform::readStoreAnswer(write, answer(412, {})).error().code == ErrorCode::conflict);
     CHECK(platform::readStoreAnswer(write, answer(429, {})).error().code == ErrorCode::rateLimited);
     CHECK(platform::readStoreAnswer(write, answer(503, {})).error().code == ErrorCode::unavailable);
-    // It may have been done: nothing is promised.
+    // The write may have taken effect, so the error does not promise that it did not.
     CHECK(platform::readStoreAnswer(write, answer(500, {})).error().code == ErrorCode::timedOut);
 }
 
-TEST_CASE("a page of the operators' table gives the configurations and where to go on from")
+TEST_CASE("a page of the operators' table yields the configurations and the next position")
 {
     http::Response page;
     page.status = 200;
@@ -237,7 +237,7 @@
     CHECK(read->documents == std::vector<QByteArray>{"{}"});
     page.status = 410;
     CHECK(platform::readConfigurationPage(page).error().code == ErrorCode::notFound);
-    rc::check("any bytes are read or refused", [](const std::string &bytes) {
+    rc::check("arbitrary bytes are parsed or rejected", [](const std::string &bytes) {
         http::Response response;
         response.status = 200;
         response.body = QByteArray::fromStdString(bytes);
--- a/test/egretlatch/sidecar/level_log.cpp
+++ b/test/egretlatch/sidecar/level_log.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("a level that moves is written with what decides it, at most once a second")
+TEST_CASE("a level change is logged with the figures that determine it, at most once a second")
 {
     fakes::ManualClock clock;
     Lines sink;
--- a/test/egretlatch/sidecar/report_handler.cpp
+++ b/test/egretlatch/sidecar/report_handler.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a first report begins a life and announces it, a second one with the same number changes nothing")
+TEST_CASE("a first report starts and announces an incarnation, a second one with the same sequence number changes nothing")
 {
     Fixture fixture;
     const HandledReport first = fixture.handler.handle(heartbeat("i-1", 1));
@@ -48,7 +48,7 @@
     CHECK(again.answer.status == first.answer.status);
 }
 
-TEST_CASE("a life that is known to have left is not announced, whoever acknowledged that")
+TEST_CASE("an incarnation that is known to have left is not announced, whichever incarnation of the daemon acknowledged that")
 {
     Fixture fixture;
     fixture.hasLeft = true;
@@ -57,7 +57,7 @@
     CHECK(std::holds_alternative<decision::ServerDraining>(*handled.event));
 }
 
-TEST_CASE("what is no report is answered with an error and changes nothing")
+TEST_CASE("an invalid report is answered with an error and changes nothing")
 {
     Fixture fixture;
     http::Request request = heartbeat("i-1", 1);
--- a/test/egretlatch/sidecar/server_tracker.cpp
+++ b/test/egretlatch/sidecar/server_tracker.cpp
@@ -36,10 +36,10 @@
 
 } // namespace
 
-TEST_CASE("a server that leaves does not come back within the same life, also by an older heartbeat")
+TEST_CASE("a leaving server does not return within the same incarnation, even by a late heartbeat")
 {
-    // Requests reach a server after it was acknowledged that it leaves. A heartbeat that a partition held up comes after
-    // the one that said so, and speaks of a server that is ready.
+    // Guards against requests that reach a server after its leaving was acknowledged: a heartbeat that a partition delayed
+    // arrives after the draining one and still reports a ready server.
     ServerTracker tracker{"roster", "10.0.0.1:80"};
     CHECK((tracker.update(report("i-1", 100, 1)) == ReportEffect::serving));
     CHECK((tracker.update(leaving(report("i-1", 100, 3))) == ReportEffect::leaving));
@@ -47,17 +47,17 @@
     CHECK((tracker.update(report("i-1", 100, 4)) == ReportEffect::leaving));
 }
 
-TEST_CASE("a server that starts again under the same id is a new life")
+TEST_CASE("a server that restarts under the same id is a new incarnation")
 {
     ServerTracker tracker{"roster", "10.0.0.1:80"};
     CHECK((tracker.update(leaving(report("i-1", 100, 9))) == ReportEffect::leaving));
     CHECK((tracker.update(report("i-1", 200, 1)) == ReportEffect::serving));
-    // What the ended life still had under way changes nothing.
+    // A delayed report of the ended incarnation changes nothing.
     CHECK((tracker.update(leaving(report("i-1", 100, 10))) == ReportEffect::late));
     CHECK((tracker.update(report("i-1", 200, 2)) == ReportEffect::serving));
 }
 
-TEST_CASE("a heartbeat of the life before is passed over, with or without its time of start")
+TEST_CASE("a heartbeat of the previous incarnation is ignored, with or without its start time")
 {
     ServerTracker tracker{"roster", "10.0.0.1:80"};
     CHECK((tracker.update(report("i-1", 0, 5)) == ReportEffect::serving));
@@ -66,7 +66,7 @@
     CHECK(tracker.instance() == "i-2");
 }
 
-TEST_CASE("reports of other services or addresses, and farewells of other lives, change nothing")
+TEST_CASE("reports of other services or addresses, and deregistrations of other incarnations, change nothing")
 {
     ServerTracker tracker{"roster", "10.0.0.1:80"};
     platform::ServerReport other = report("i-1", 100, 1);
@@ -80,7 +80,7 @@
     CHECK((tracker.update(deregistration("i-1")) == ReportEffect::leaving));
 }
 
-TEST_CASE("a farewell that comes before all else names the life that it ends")
+TEST_CASE("a deregistration that arrives before any other report names the incarnation that it ends")
 {
     ServerTracker tracker{"roster", "10.0.0.1:80"};
     const platform::ServerReport ended = deregistration("i-1");
@@ -89,7 +89,7 @@
     CHECK(tracker.incarnationName() == tracker.incarnationNameOf(ended));
 }
 
-TEST_CASE("a late heartbeat of a server that is gone does not keep the present one away for good")
+TEST_CASE("a late heartbeat of a terminated server does not shut out the current one permanently")
 {
     ServerTracker tracker{"roster", "10.0.0.1:80"};
     CHECK((tracker.update(report("i-2", 0, 1)) == ReportEffect::serving));
