--- a/src/egretlatch/sidecar/caller_frontend.cpp
+++ b/src/egretlatch/sidecar/caller_frontend.cpp
@@ -16,7 +16,7 @@
 // A daemon receives its configuration within a second of reaching the store or another daemon.
 constexpr std::chrono::milliseconds retryWithoutConfiguration{1000};
 
-[[nodiscard]] static decision::CallerAnswer withoutConfiguration()
+[[nodiscard]] static decision::CallerAnswer noConfigurationAnswer()
 {
     decision::CallerAnswer answer;
     answer.refusal = account::Refusal{.id = {},
@@ -28,7 +28,7 @@
     return answer;
 }
 
-[[nodiscard]] static decision::CallerAnswer withoutRoute()
+[[nodiscard]] static decision::CallerAnswer noRouteAnswer()
 {
     decision::CallerAnswer answer;
     answer.status = notFound;
@@ -49,7 +49,7 @@
                    handleRequest(exchange, std::move(request), readAt);
                },
                [this](const ExchangeId exchange) {
-                   m_names.erase(exchange);
+                   m_requestNames.erase(exchange);
                    m_onEvent(decision::CallerGone{.exchange = exchange});
                }}
 {
@@ -72,12 +72,12 @@
 
 void CallerFrontend::answer(const decision::AnswerCaller &action)
 {
-    const auto found = m_names.find(action.exchange);
-    if (found == m_names.end()) {
+    const auto found = m_requestNames.find(action.exchange);
+    if (found == m_requestNames.end()) {
         return;
     }
     const std::string name = std::move(found->second);
-    m_names.erase(found);
+    m_requestNames.erase(found);
     m_server.answer(action.exchange, platform::writeAnswer(action.answer, name));
 }
 
@@ -99,14 +99,14 @@
 void CallerFrontend::handleRequest(const ExchangeId exchange, http::Request request, const SteadyTime readAt)
 {
     platform::CallerRequest caller = platform::readCaller(request);
-    m_names.emplace(exchange, caller.name);
+    m_requestNames.emplace(exchange, caller.name);
     if (m_manifest == nullptr) {
-        answer({.exchange = exchange, .answer = internal::withoutConfiguration()});
+        answer({.exchange = exchange, .answer = internal::noConfigurationAnswer()});
         return;
     }
     const manifest::RouteSpec *const route = m_manifest->findRoute(caller.host, caller.path);
     if (route == nullptr) {
-        answer({.exchange = exchange, .answer = internal::withoutRoute()});
+        answer({.exchange = exchange, .answer = internal::noRouteAnswer()});
         return;
     }
     decision::CallerCall call;
--- a/src/egretlatch/sidecar/caller_frontend.hpp
+++ b/src/egretlatch/sidecar/caller_frontend.hpp
@@ -71,7 +71,7 @@
     std::shared_ptr<const manifest::Manifest> m_manifest;
     bool m_overlaps{true};
     /*! @brief Names of the requests in flight. */
-    std::unordered_map<ExchangeId, std::string> m_names;
+    std::unordered_map<ExchangeId, std::string> m_requestNames;
     http::Server m_server;
 };
 
--- a/test/egretlatch/sidecar/level_log.cpp
+++ b/test/egretlatch/sidecar/level_log.cpp
@@ -32,20 +32,20 @@
     Lines sink;
     const Logger logger{LogLevel::info, "self", sink};
     sidecar::LevelLog log{logger};
-    const auto note = [&](const admission::Level &level) {
+    const auto logIfDue = [&](const admission::Level &level) {
         if (log.isDue(level, clock.steadyNow())) {
             log.write({.inFlight = 4, .limit = 4, .queued = 9, .level = level}, {{.name = "shed", .value = 0.5}}, clock.steadyNow());
         }
     };
-    note({});
+    logIfDue({});
     CHECK(sink.lines.empty());
-    note({.priority = 7, .density = 19, .fraction = 0.5});
-    note({.priority = 8, .density = 19, .fraction = 0.5});
+    logIfDue({.priority = 7, .density = 19, .fraction = 0.5});
+    logIfDue({.priority = 8, .density = 19, .fraction = 0.5});
     REQUIRE(sink.lines.size() == 1);
     CHECK(sink.lines.front().find("shed=0.5") != std::string::npos);
     clock.advance(1s);
-    note({.priority = 7, .density = 19, .fraction = 0.55});
+    logIfDue({.priority = 7, .density = 19, .fraction = 0.55});
     CHECK(sink.lines.size() == 1);
-    note({.priority = 7, .density = 19, .fraction = 0.65});
+    logIfDue({.priority = 7, .density = 19, .fraction = 0.65});
     CHECK(sink.lines.size() == 2);
 }
