--- a/src/egretlatch/sidecar/sidecar.cpp
+++ b/src/egretlatch/sidecar/sidecar.cpp
@@ -24,7 +24,8 @@
 // servers, caused by daemons that restart and by calls that never arrive.
 constexpr double usedShareOfRetries = 0.8;
 // Percentages of the time that the platform allows from a server's report that it leaves to its last request: end of accepting
-// requests, and last start of a queued one. Requests still queued at the end of accepting are forwarded within the rest.
+// requests, and last start of a queued one. Requests that are queued when accepting ends are started by then, or refused and
+// sent on to other servers within the rest.
 constexpr int hundredPercent = 100;
 constexpr int acceptPercent = 40;
 constexpr int lastStartPercent = 80;
