--- a/src/egretlatch/sidecar/adaptive_options.cpp
+++ b/src/egretlatch/sidecar/adaptive_options.cpp
@@ -6,11 +6,11 @@
 namespace internal
 {
 
-constexpr std::chrono::milliseconds shortestQueue{80};
+constexpr std::chrono::milliseconds minDrainTarget{80};
 // Suits backend servers with about a dozen slots. Demand averaged over a shorter window is mostly noise there, and the level
 // then refuses ranks above the one that exceeds capacity.
 constexpr admission::LevelTimes levelTimes{
-    .demandWindow = std::chrono::milliseconds{600}, .shortestStep = std::chrono::milliseconds{100}, .longestStep = std::chrono::milliseconds{600}};
+    .demandWindow = std::chrono::milliseconds{600}, .minStepInterval = std::chrono::milliseconds{100}, .maxStepInterval = std::chrono::milliseconds{600}};
 
 } // namespace internal
 
@@ -23,7 +23,7 @@
     daemon::AdaptiveOptions options;
     options.gate.areSlotsTrusted = isEnabled(Mechanism::trustedSlots);
     options.gate.keepsInnerCalls = isEnabled(Mechanism::keptInnerCalls);
-    options.gate.shortestQueue = isEnabled(Mechanism::longQueues) ? internal::shortestQueue : std::chrono::milliseconds{};
+    options.gate.minDrainTarget = isEnabled(Mechanism::longQueues) ? internal::minDrainTarget : std::chrono::milliseconds{};
     options.gate.level = isEnabled(Mechanism::slowLevels) ? internal::levelTimes : admission::LevelTimes{};
     options.costSource = isEnabled(Mechanism::wholeCosts) ? admission::CostSource::observed : admission::CostSource::declared;
     options.refusesAtEntry = isEnabled(Mechanism::entryRefusals);
--- a/src/egretlatch/sidecar/request_log.cpp
+++ b/src/egretlatch/sidecar/request_log.cpp
@@ -23,9 +23,9 @@
                    {"configuration", record.refusal.configurationVersion}});
 }
 
-void RequestLog::write(const decision::NoteRequest &entry) const
+void RequestLog::write(const decision::LogRequest &entry) const
 {
-    m_logger.info(entry.what,
+    m_logger.info(entry.event,
                   {{"request", entry.requestName},
                    {"service", entry.service},
                    {"kind", entry.kind},
--- a/src/egretlatch/sidecar/request_log.hpp
+++ b/src/egretlatch/sidecar/request_log.hpp
@@ -30,7 +30,7 @@
      * @brief Logs any other event of a request.
      * @param entry The event.
      */
-    void write(const decision::NoteRequest &entry) const;
+    void write(const decision::LogRequest &entry) const;
 
 private:
     const Logger &m_logger;
