--- a/src/egretlatch/sidecar/adaptive_options.cpp
+++ b/src/egretlatch/sidecar/adaptive_options.cpp
@@ -27,7 +27,7 @@
     options.gate.level = isEnabled(Mechanism::slowLevels) ? internal::levelTimes : admission::LevelTimes{};
     options.costSource = isEnabled(Mechanism::wholeCosts) ? admission::CostSource::observed : admission::CostSource::declared;
     options.refusesAtEntry = isEnabled(Mechanism::entryRefusals);
-    options.learnsServers = isEnabled(Mechanism::serverKnowledge);
+    options.usesAdaptiveRouter = isEnabled(Mechanism::serverKnowledge);
     return options;
 }
 
