--- a/src/egretlatch/account/account_batch.cpp
+++ b/src/egretlatch/account/account_batch.cpp
@@ -13,7 +13,7 @@
 namespace internal
 {
 
-constexpr quint32 largestBatch = 64U * 1024U * 1024U;
+constexpr quint32 maxBatchBytes = 64U * 1024U * 1024U;
 constexpr int hexadecimal = 16;
 
 [[nodiscard]] static qint64 toMilliseconds(const WallTime time)
@@ -36,9 +36,9 @@
 }
 
 // An object that claims to unpack to gigabytes must not take the reader's memory.
-[[nodiscard]] static bool isSizeSound(const QByteArray &bytes)
+[[nodiscard]] static bool isSizeValid(const QByteArray &bytes)
 {
-    return bytes.size() > static_cast<qsizetype>(sizeof(quint32)) && qFromBigEndian<quint32>(bytes.constData()) <= largestBatch;
+    return bytes.size() > static_cast<qsizetype>(sizeof(quint32)) && qFromBigEndian<quint32>(bytes.constData()) <= maxBatchBytes;
 }
 
 } // namespace internal
@@ -77,7 +77,7 @@
 
 std::optional<AccountBatch> decodeBatch(const QByteArray &bytes)
 {
-    if (!internal::isSizeSound(bytes)) {
+    if (!internal::isSizeValid(bytes)) {
         return std::nullopt;
     }
     const QJsonObject object = QJsonDocument::fromJson(qUncompress(bytes)).object();
--- a/src/egretlatch/account/fwd.hpp
+++ b/src/egretlatch/account/fwd.hpp
@@ -13,7 +13,7 @@
 struct RefusalRecord;
 struct DroppedRefusals;
 struct AccountBatch;
-struct LedgerLimits;
+struct RefusalLedgerLimits;
 
 class MetricsSink;
 class DroppedTally;
--- a/src/egretlatch/account/metrics_registry.cpp
+++ b/src/egretlatch/account/metrics_registry.cpp
@@ -71,9 +71,9 @@
     const std::lock_guard lock{m_mutex};
     Histogram &histogram = m_histograms[Key{name, label}];
     histogram.summary(seconds);
-    const auto *const end = std::lower_bound(bucketEnds.begin(), bucketEnds.end(), seconds);
-    if (end != bucketEnds.end()) {
-        ++histogram.buckets.at(static_cast<std::size_t>(end - bucketEnds.begin()));
+    const auto *const end = std::lower_bound(bucketBounds.begin(), bucketBounds.end(), seconds);
+    if (end != bucketBounds.end()) {
+        ++histogram.buckets.at(static_cast<std::size_t>(end - bucketBounds.begin()));
     }
 }
 
@@ -112,9 +112,9 @@
     const std::string name = fmt::format("egretlatch_{}_seconds", key.first);
     const std::string label = key.second.empty() ? std::string{} : fmt::format("{}=\"{}\",", internal::labelNameOf(key.first), key.second);
     std::uint64_t below = 0;
-    for (std::size_t index = 0; index < bucketEnds.size(); ++index) {
+    for (std::size_t index = 0; index < bucketBounds.size(); ++index) {
         below += histogram.buckets.at(index);
-        fmt::format_to(out, "{}_bucket{{{}le=\"{:g}\"}} {}\n", name, label, bucketEnds.at(index), below);
+        fmt::format_to(out, "{}_bucket{{{}le=\"{:g}\"}} {}\n", name, label, bucketBounds.at(index), below);
     }
     const auto count = boost::accumulators::count(histogram.summary);
     const std::string braces = internal::labelText(key.first, key.second);
--- a/src/egretlatch/account/metrics_registry.hpp
+++ b/src/egretlatch/account/metrics_registry.hpp
@@ -34,7 +34,7 @@
     [[nodiscard]] std::string toPrometheus() const;
 
     /*! @brief Upper ends of the buckets of spans of time, in seconds: from a call on one VM to the longest deadline. */
-    static constexpr std::array<double, 13> bucketEnds{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0};
+    static constexpr std::array<double, 13> bucketBounds{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0};
 
 private:
     using Key = std::pair<std::string, std::string>;
@@ -45,7 +45,7 @@
     {
         Summary summary;
         /*! @brief Values up to each end and above the one before. */
-        std::array<std::uint64_t, bucketEnds.size()> buckets{};
+        std::array<std::uint64_t, bucketBounds.size()> buckets{};
     };
 
     void writeHistogram(const Key &key, const Histogram &histogram, std::string &text) const;
--- a/src/egretlatch/account/refusal_ledger.cpp
+++ b/src/egretlatch/account/refusal_ledger.cpp
@@ -22,7 +22,7 @@
 
 } // namespace internal
 
-RefusalLedger::RefusalLedger(DaemonId daemon, const Incarnation incarnation, const LedgerLimits limits)
+RefusalLedger::RefusalLedger(DaemonId daemon, const Incarnation incarnation, const RefusalLedgerLimits limits)
     : m_daemon{std::move(daemon)}
     , m_incarnation{incarnation}
     , m_limits{limits}
@@ -31,13 +31,13 @@
 
 void RefusalLedger::add(RefusalRecord record)
 {
-    remember(record);
-    if (m_waiting >= m_limits.waiting) {
+    addToRecent(record);
+    if (m_pending >= m_limits.maxPending) {
         // In a long outage of the store memory would grow without end; the account says instead what it lacks.
         m_overflow.add(record.time);
         return;
     }
-    ++m_waiting;
+    ++m_pending;
     const WallTime minute = internal::minuteOf(record);
     m_minutes[minute].refusals.push_back(std::move(record));
 }
@@ -52,9 +52,9 @@
     if (m_batch.has_value()) {
         return m_batch;
     }
-    settleOverflow();
-    if (m_closed.has_value()) {
-        static_cast<void>(m_minutes[internal::minuteOf(*m_closed)]);
+    recordOverflow();
+    if (m_closedAt.has_value()) {
+        static_cast<void>(m_minutes[internal::minuteOf(*m_closedAt)]);
     }
     if (m_minutes.empty()) {
         return std::nullopt;
@@ -65,7 +65,7 @@
     batch.incarnation = m_incarnation;
     batch.sequence = ++m_sequence;
     batch.minute = m_minutes.begin()->first;
-    const std::size_t count = std::min(m_limits.batch, minute.refusals.size());
+    const std::size_t count = std::min(m_limits.maxBatch, minute.refusals.size());
     const auto end = std::next(minute.refusals.begin(), static_cast<std::ptrdiff_t>(count));
     batch.refusals.assign(std::make_move_iterator(minute.refusals.begin()), std::make_move_iterator(end));
     minute.refusals.erase(minute.refusals.begin(), end);
@@ -74,9 +74,9 @@
     if (minute.refusals.empty()) {
         m_minutes.erase(m_minutes.begin());
     }
-    batch.isLast = m_closed.has_value() && m_minutes.empty();
+    batch.isLast = m_closedAt.has_value() && m_minutes.empty();
     if (batch.isLast) {
-        m_closed.reset();
+        m_closedAt.reset();
     }
     m_batch = std::move(batch);
     return m_batch;
@@ -85,14 +85,14 @@
 void RefusalLedger::acknowledge()
 {
     if (m_batch.has_value()) {
-        m_waiting -= m_batch->refusals.size();
+        m_pending -= m_batch->refusals.size();
         m_batch.reset();
     }
 }
 
 void RefusalLedger::close(const WallTime now)
 {
-    m_closed = now;
+    m_closedAt = now;
 }
 
 std::optional<RefusalRecord> RefusalLedger::find(const Uuid &id) const
@@ -101,19 +101,19 @@
     return found == m_recent.end() ? std::nullopt : std::optional{found->second};
 }
 
-void RefusalLedger::remember(const RefusalRecord &record)
+void RefusalLedger::addToRecent(const RefusalRecord &record)
 {
     if (!m_recent.try_emplace(record.refusal.id, record).second) {
         return;
     }
-    m_order.push_back(record.refusal.id);
-    if (m_order.size() > m_limits.recent) {
-        m_recent.erase(m_order.front());
-        m_order.pop_front();
+    m_recentOrder.push_back(record.refusal.id);
+    if (m_recentOrder.size() > m_limits.maxRecent) {
+        m_recent.erase(m_recentOrder.front());
+        m_recentOrder.pop_front();
     }
 }
 
-void RefusalLedger::settleOverflow()
+void RefusalLedger::recordOverflow()
 {
     if (const std::optional<DroppedRefusals> dropped = m_overflow.take()) {
         m_minutes[internal::minuteOf(dropped->last)].dropped.push_back(*dropped);
--- a/src/egretlatch/account/refusal_ledger.hpp
+++ b/src/egretlatch/account/refusal_ledger.hpp
@@ -13,16 +13,16 @@
 {
 
 /*! @brief How much a ledger holds. */
-struct LedgerLimits
+struct RefusalLedgerLimits
 {
     /*! @brief Refusals that wait to be stored; later ones are dropped and counted. */
-    std::size_t waiting{20'000};
+    std::size_t maxPending{20'000};
     /*! @brief Refusals of one batch. */
-    std::size_t batch{5000};
+    std::size_t maxBatch{5000};
     /*! @brief Refusals that can be looked up, stored or not. */
-    std::size_t recent{5000};
+    std::size_t maxRecent{5000};
 
-    friend bool operator==(const LedgerLimits &, const LedgerLimits &) = default;
+    friend bool operator==(const RefusalLedgerLimits &, const RefusalLedgerLimits &) = default;
 };
 
 /*! @brief One daemon's account of its refusals until the object store has them; bounded, does no input or output. */
@@ -35,7 +35,7 @@
      * @param incarnation Which life of the daemon.
      * @param limits How much it holds.
      */
-    RefusalLedger(DaemonId daemon, Incarnation incarnation, LedgerLimits limits = {});
+    RefusalLedger(DaemonId daemon, Incarnation incarnation, RefusalLedgerLimits limits = {});
 
     /**
      * @brief Enters a refusal.
@@ -77,9 +77,9 @@
      * @brief Gives how many refusals wait to be stored.
      * @return The number, those of an unacknowledged batch included.
      */
-    [[nodiscard]] std::size_t waiting() const noexcept
+    [[nodiscard]] std::size_t pendingCount() const noexcept
     {
-        return m_waiting;
+        return m_pending;
     }
 
 private:
@@ -89,19 +89,19 @@
         std::vector<DroppedRefusals> dropped;
     };
 
-    void remember(const RefusalRecord &record);
-    void settleOverflow();
+    void addToRecent(const RefusalRecord &record);
+    void recordOverflow();
 
     DaemonId m_daemon;
     Incarnation m_incarnation;
-    LedgerLimits m_limits;
+    RefusalLedgerLimits m_limits;
     std::map<WallTime, Minute> m_minutes;
-    std::size_t m_waiting{};
+    std::size_t m_pending{};
     DroppedTally m_overflow;
     std::optional<AccountBatch> m_batch;
     std::uint64_t m_sequence{};
-    std::optional<WallTime> m_closed;
-    std::deque<Uuid> m_order;
+    std::optional<WallTime> m_closedAt;
+    std::deque<Uuid> m_recentOrder;
     std::unordered_map<Uuid, RefusalRecord> m_recent;
 };
 
--- a/src/egretlatch/daemon/backend_client.cpp
+++ b/src/egretlatch/daemon/backend_client.cpp
@@ -43,12 +43,12 @@
     return request;
 }
 
-[[nodiscard]] static decision::RunFailure failureOf(const QNetworkReply::NetworkError error)
+[[nodiscard]] static decision::RunFailure toRunFailure(const QNetworkReply::NetworkError error)
 {
     return error == QNetworkReply::ConnectionRefusedError ? decision::RunFailure::neverConnected : decision::RunFailure::lost;
 }
 
-[[nodiscard]] static decision::RunAnswer answerOf(QNetworkReply &reply, const int status)
+[[nodiscard]] static decision::RunAnswer toRunAnswer(QNetworkReply &reply, const int status)
 {
     decision::RunAnswer answer;
     answer.status = status;
@@ -61,7 +61,7 @@
     return answer;
 }
 
-[[nodiscard]] static bool isCutShort(const QNetworkReply::NetworkError error)
+[[nodiscard]] static bool isConnectionError(const QNetworkReply::NetworkError error)
 {
     // The errors by which Qt reports a status of 400 and above come with a whole answer; those of the connection do not.
     return error == QNetworkReply::RemoteHostClosedError || error == QNetworkReply::ContentReSendError || error == QNetworkReply::TimeoutError
@@ -106,8 +106,8 @@
         return;
     }
     const int status = reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
-    if (status == 0 || internal::isCutShort(reply->error())) {
-        m_onEnd({.execution = execution, .result = internal::failureOf(reply->error())});
+    if (status == 0 || internal::isConnectionError(reply->error())) {
+        m_onEnd({.execution = execution, .result = internal::toRunFailure(reply->error())});
         return;
     }
     const bool isRejected = status == internal::serviceUnavailable && reply->rawHeader(verdictHeader) == toString(Verdict::notRun).data();
@@ -115,7 +115,7 @@
         m_onEnd({.execution = execution, .result = decision::RunFailure::rejected});
         return;
     }
-    m_onEnd({.execution = execution, .result = internal::answerOf(*reply, status)});
+    m_onEnd({.execution = execution, .result = internal::toRunAnswer(*reply, status)});
 }
 
 } // namespace egretlatch::daemon
--- a/src/egretlatch/daemon/caller_server.cpp
+++ b/src/egretlatch/daemon/caller_server.cpp
@@ -132,7 +132,7 @@
     responder.writeBody(body);
 }
 
-static void writeMistake(QHttpServerResponder responder, const StatusCode status, const std::string &mistake, const Verdict verdict = Verdict::notRun)
+static void writeRequestError(QHttpServerResponder responder, const StatusCode status, const std::string &mistake, const Verdict verdict = Verdict::notRun)
 {
     decision::CallerAnswer answer;
     answer.verdict = verdict;
@@ -150,7 +150,7 @@
 {
 }
 
-void CallerServer::addLookup(const QString &prefix, Lookup lookup)
+void CallerServer::addPageLookup(const QString &prefix, PageLookup lookup)
 {
     m_lookupPrefix = prefix;
     m_lookup = std::move(lookup);
@@ -161,9 +161,9 @@
     m_token = std::move(token);
 }
 
-void CallerServer::addReport(const QString &path, const QByteArray &contentType, Report report)
+void CallerServer::addPage(const QString &path, const QByteArray &contentType, PageHandler handler)
 {
-    m_pages.insert_or_assign(path.toStdString(), Page{.contentType = contentType, .report = std::move(report)});
+    m_pages.insert_or_assign(path.toStdString(), Page{.contentType = contentType, .handler = std::move(handler)});
 }
 
 Result<void> CallerServer::start(const std::string &address, const std::uint16_t port)
@@ -195,20 +195,20 @@
     if (exchange.socket.isNull()) {
         return;
     }
-    m_bySocket.erase(exchange.socket.data());
-    const decision::CallerAnswer &given = answer.answer;
-    if (given.verdict == Verdict::completed) {
-        Headers headers = given.headers;
-        headers.push_back({.name = verdictHeader, .value = std::string{toString(given.verdict)}});
-        internal::write(exchange.responder, given.status, headers, given.body);
+    m_exchangeBySocket.erase(exchange.socket.data());
+    const decision::CallerAnswer &callerAnswer = answer.answer;
+    if (callerAnswer.verdict == Verdict::completed) {
+        Headers headers = callerAnswer.headers;
+        headers.push_back({.name = verdictHeader, .value = std::string{toString(callerAnswer.verdict)}});
+        internal::write(exchange.responder, callerAnswer.status, headers, callerAnswer.body);
         return;
     }
-    internal::write(exchange.responder, given.status, problemHeaders(given), problemBody(given));
+    internal::write(exchange.responder, callerAnswer.status, problemHeaders(callerAnswer), problemBody(callerAnswer));
 }
 
 bool CallerServer::handleRequest(const QHttpServerRequest &request, QTcpSocket *const socket)
 {
-    GuardedTcpServer::noteRequestTaken(socket);
+    GuardedTcpServer::resetReceivedBytes(socket);
     const QString path = request.url().path();
     if (path.startsWith(internal::callPrefix)) {
         handleCall(request, socket);
@@ -234,7 +234,7 @@
     return handlePage(request, socket);
 }
 
-bool CallerServer::mayRead(const QHttpServerRequest &request) const
+bool CallerServer::isAuthorized(const QHttpServerRequest &request) const
 {
     return !m_token.has_value() || m_token->matchesBearer(request.value("Authorization").toStdString());
 }
@@ -247,14 +247,14 @@
     if (page == m_pages.end() && !isLookup) {
         return false;
     }
-    if (!mayRead(request)) {
+    if (!isAuthorized(request)) {
         const char *const mistake = m_token->isEmpty() ? "operators cannot read here: the settings name neither operatorTokenFile nor operatorAccess open"
                                                        : "the page needs the operators' token, as Authorization: Bearer";
-        internal::writeMistake(makeResponder(request, socket), internal::StatusCode::Unauthorized, mistake);
+        internal::writeRequestError(makeResponder(request, socket), internal::StatusCode::Unauthorized, mistake);
         return true;
     }
     if (!isLookup) {
-        makeResponder(request, socket).write(QByteArray::fromStdString(page->second.report()), page->second.contentType);
+        makeResponder(request, socket).write(QByteArray::fromStdString(page->second.handler()), page->second.contentType);
         return true;
     }
     const std::optional<std::string> text = m_lookup(path.mid(m_lookupPrefix.size()).toStdString());
@@ -267,7 +267,7 @@
 
 void CallerServer::missingHandler(const QHttpServerRequest &request, QTcpSocket *const socket)
 {
-    internal::writeMistake(makeResponder(request, socket), internal::StatusCode::NotFound, "there is nothing at this path");
+    internal::writeRequestError(makeResponder(request, socket), internal::StatusCode::NotFound, "there is nothing at this path");
 }
 
 void CallerServer::handleCall(const QHttpServerRequest &request, QTcpSocket *const socket)
@@ -275,17 +275,17 @@
     const Verdict verdict = retry::verdictUnread(request.value(keyHeader).toStdString());
     if (request.body().size() > m_maxBodyBytes) {
         const std::string mistake = fmt::format("the body is larger than {} bytes", m_maxBodyBytes);
-        internal::writeMistake(makeResponder(request, socket), internal::StatusCode::PayloadTooLarge, mistake, verdict);
+        internal::writeRequestError(makeResponder(request, socket), internal::StatusCode::PayloadTooLarge, mistake, verdict);
         return;
     }
     tl::expected<decision::CallerCall, std::string> call = internal::parseCall(request);
     if (!call.has_value()) {
-        internal::writeMistake(makeResponder(request, socket), internal::StatusCode::BadRequest, call.error(), verdict);
+        internal::writeRequestError(makeResponder(request, socket), internal::StatusCode::BadRequest, call.error(), verdict);
         return;
     }
     const ExchangeId exchange{++m_lastExchange};
     m_exchanges.emplace(exchange, Exchange{.responder = makeResponder(request, socket), .socket = socket});
-    watch(socket, exchange);
+    trackExchange(socket, exchange);
     decision::CallerAnswer busy;
     busy.service = call->service;
     busy.kind = call->kind;
@@ -306,12 +306,12 @@
 {
     const QStringList parts = request.url().path().mid(internal::keysPrefix.size()).split(u'/');
     if (request.method() != QHttpServerRequest::Method::Post || parts.size() != 2) {
-        internal::writeMistake(makeResponder(request, socket), internal::StatusCode::BadRequest, "keys are minted by POST /keys/{service}/{kind}");
+        internal::writeRequestError(makeResponder(request, socket), internal::StatusCode::BadRequest, "keys are minted by POST /keys/{service}/{kind}");
         return;
     }
     const ExchangeId exchange{++m_lastExchange};
     m_exchanges.emplace(exchange, Exchange{.responder = makeResponder(request, socket), .socket = socket});
-    watch(socket, exchange);
+    trackExchange(socket, exchange);
     if (m_onEvent(decision::KeyRequested{.exchange = exchange, .service = parts[0].toStdString(), .kind = parts[1].toStdString()})) {
         return;
     }
@@ -325,10 +325,10 @@
 {
     const QString verb = request.url().path().mid(internal::backendPrefix.size());
     if (request.method() != QHttpServerRequest::Method::Post) {
-        internal::writeMistake(makeResponder(request, socket), internal::StatusCode::MethodNotAllowed, "only POST is allowed here");
+        internal::writeRequestError(makeResponder(request, socket), internal::StatusCode::MethodNotAllowed, "only POST is allowed here");
         return;
     }
-    bool isTaken = false;
+    bool isQueued = false;
     if (verb == QLatin1String{"announce"}) {
         settings::Problems problems;
         settings::JsonObjectReader reader{settings::parseJson(request.body(), problems), "", problems};
@@ -343,25 +343,25 @@
             for (const settings::Problem &problem : problems) {
                 lines += settings::toLine("announcement", problem) + "; ";
             }
-            internal::writeMistake(makeResponder(request, socket), internal::StatusCode::BadRequest, lines);
+            internal::writeRequestError(makeResponder(request, socket), internal::StatusCode::BadRequest, lines);
             return;
         }
-        isTaken = m_onEvent(announced);
+        isQueued = m_onEvent(announced);
     } else if (verb == QLatin1String{"drain"}) {
-        isTaken = m_onEvent(decision::ServerDraining{});
+        isQueued = m_onEvent(decision::ServerDraining{});
     } else if (verb == QLatin1String{"leave"}) {
-        isTaken = m_onEvent(decision::ServerLeft{});
+        isQueued = m_onEvent(decision::ServerLeft{});
     } else {
-        internal::writeMistake(makeResponder(request, socket), internal::StatusCode::NotFound, "the paths are /backend/announce, drain and leave");
+        internal::writeRequestError(makeResponder(request, socket), internal::StatusCode::NotFound, "the paths are /backend/announce, drain and leave");
         return;
     }
-    makeResponder(request, socket).write(isTaken ? internal::StatusCode::NoContent : internal::StatusCode::ServiceUnavailable);
+    makeResponder(request, socket).write(isQueued ? internal::StatusCode::NoContent : internal::StatusCode::ServiceUnavailable);
 }
 
-void CallerServer::watch(QTcpSocket *const socket, const ExchangeId exchange)
+void CallerServer::trackExchange(QTcpSocket *const socket, const ExchangeId exchange)
 {
-    const bool isNew = !m_bySocket.contains(socket);
-    m_bySocket[socket] = exchange;
+    const bool isNew = !m_exchangeBySocket.contains(socket);
+    m_exchangeBySocket[socket] = exchange;
     if (isNew && !socket->property("egretlatchWatched").toBool()) {
         socket->setProperty("egretlatchWatched", true);
         connect(socket, &QTcpSocket::disconnected, this, [this, socket] {
@@ -372,12 +372,12 @@
 
 void CallerServer::handleDisconnected(QTcpSocket *const socket)
 {
-    const auto found = m_bySocket.find(socket);
-    if (found == m_bySocket.end()) {
+    const auto found = m_exchangeBySocket.find(socket);
+    if (found == m_exchangeBySocket.end()) {
         return;
     }
     const ExchangeId exchange = found->second;
-    m_bySocket.erase(found);
+    m_exchangeBySocket.erase(found);
     m_exchanges.erase(exchange);
     // A full ring loses only the cancel: the call then ends at its deadline.
     static_cast<void>(m_onEvent(decision::CallerGone{.exchange = exchange}));
--- a/src/egretlatch/daemon/caller_server.hpp
+++ b/src/egretlatch/daemon/caller_server.hpp
@@ -28,9 +28,9 @@
     /*! @brief Hands an event to the deciding thread; false if its ring is full. */
     using EventHandler = std::function<bool(decision::Event)>;
     /*! @brief Gives the text of a page that only reports. */
-    using Report = std::function<std::string()>;
+    using PageHandler = std::function<std::string()>;
     /*! @brief Gives the text of a page by its name. */
-    using Lookup = std::function<std::optional<std::string>(const std::string &)>;
+    using PageLookup = std::function<std::optional<std::string>(const std::string &)>;
 
     /**
      * @brief Builds a server that does not listen yet.
@@ -46,17 +46,17 @@
      * @param contentType Its media type.
      * @param report Called for each read, on this server's thread.
      */
-    void addReport(const QString &path, const QByteArray &contentType, Report report);
+    void addPage(const QString &path, const QByteArray &contentType, PageHandler handler);
 
     /**
      * @brief Adds pages below a path, such as one for each refusal; they are JSON.
      * @param prefix Path up to the name of a page.
      * @param lookup Called for each read with the rest of the path, on this server's thread; nothing for no such page.
      */
-    void addLookup(const QString &prefix, Lookup lookup);
+    void addPageLookup(const QString &prefix, PageLookup lookup);
 
     /**
-     * @brief Lets the pages added by addReport() and addLookup() be read only with a token; until then they are open.
+     * @brief Lets the pages added by addPage() and addPageLookup() be read only with a token; until then they are open.
      * @param token The token; empty closes the pages to everyone.
      */
     void requireToken(Secret token);
@@ -89,7 +89,7 @@
     struct Page
     {
         QByteArray contentType;
-        Report report;
+        PageHandler handler;
     };
 
     struct Exchange
@@ -99,11 +99,11 @@
     };
 
     void handleCall(const QHttpServerRequest &request, QTcpSocket *socket);
-    [[nodiscard]] bool mayRead(const QHttpServerRequest &request) const;
+    [[nodiscard]] bool isAuthorized(const QHttpServerRequest &request) const;
     [[nodiscard]] bool handlePage(const QHttpServerRequest &request, QTcpSocket *socket);
     void handleKeys(const QHttpServerRequest &request, QTcpSocket *socket);
     void handleBackend(const QHttpServerRequest &request, QTcpSocket *socket);
-    void watch(QTcpSocket *socket, ExchangeId exchange);
+    void trackExchange(QTcpSocket *socket, ExchangeId exchange);
     void handleDisconnected(QTcpSocket *socket);
 
     std::int64_t m_maxBodyBytes;
@@ -111,10 +111,10 @@
     account::MetricsSink &m_metrics;
     std::unordered_map<std::string, Page> m_pages;
     QString m_lookupPrefix;
-    Lookup m_lookup;
+    PageLookup m_lookup;
     std::optional<Secret> m_token;
     std::unordered_map<ExchangeId, Exchange> m_exchanges;
-    std::unordered_map<QTcpSocket *, ExchangeId> m_bySocket;
+    std::unordered_map<QTcpSocket *, ExchangeId> m_exchangeBySocket;
     std::uint64_t m_lastExchange{};
     bool m_isReady{};
 };
--- a/src/egretlatch/daemon/daemon.cpp
+++ b/src/egretlatch/daemon/daemon.cpp
@@ -29,100 +29,100 @@
     , m_logger{m_settings.logLevel, m_settings.id.value}
     , m_random{m_settings.seed.value_or(freshSeed())}
     , m_incarnation{incarnationAt(m_clock)}
-    , m_inward{m_decideWaker}
-    , m_peer{m_settings.id, m_incarnation, m_settings.peerKeys, m_inward.fromPeer, m_metrics}
-    , m_frontWaker{[this] {
-        drainFront();
+    , m_eventRings{m_decideWaker}
+    , m_peerThread{m_settings.id, m_incarnation, m_settings.peerKeys, m_eventRings.fromPeer, m_metrics}
+    , m_callerWaker{[this] {
+        drainCallerRing();
     }}
-    , m_backWaker{[this] {
-        drainBack();
+    , m_backendWaker{[this] {
+        drainBackendRing();
     }}
     , m_accountWaker{[this] {
-        drainAccount();
+        drainAccountRing();
     }}
     , m_platformWaker{[this] {
-        drainPlatform();
+        drainPlatformRing();
     }}
-    , m_outward{m_frontWaker, m_peer.waker(), m_backWaker, m_accountWaker, m_platformWaker}
+    , m_actionRings{m_callerWaker, m_peerThread.waker(), m_backendWaker, m_accountWaker, m_platformWaker}
 {
-    m_frontWaker.moveToThread(&m_frontThread);
-    m_backWaker.moveToThread(&m_backThread);
+    m_callerWaker.moveToThread(&m_callerThread);
+    m_backendWaker.moveToThread(&m_backendThread);
     m_accountWaker.moveToThread(&m_accountThread);
     m_platformWaker.moveToThread(&m_platformThread);
 }
 
 Daemon::~Daemon()
 {
-    m_decide.reset();
-    stopThread(m_frontThread, m_frontWaker, [this] {
-        m_front.reset();
+    m_decideThread.reset();
+    stopThread(m_callerThread, m_callerWaker, [this] {
+        m_callerServer.reset();
     });
-    stopThread(m_backThread, m_backWaker, [this] {
-        m_back.reset();
+    stopThread(m_backendThread, m_backendWaker, [this] {
+        m_backendClient.reset();
     });
     stopThread(m_accountThread, m_accountWaker, [this] {
-        m_refusals->close();
-        m_refusals.reset();
-        m_spans.reset();
+        m_refusalRecorder->close();
+        m_refusalRecorder.reset();
+        m_spanExporter.reset();
     });
     stopThread(m_platformThread, m_platformWaker, [this] {
-        m_platform.reset();
+        m_platformClient.reset();
     });
 }
 
-void Daemon::stopThread(QThread &thread, QObject &onThread, const std::function<void()> &destroy)
+void Daemon::stopThread(QThread &thread, QObject &contextObject, const std::function<void()> &destroy)
 {
     if (!thread.isRunning()) {
         return;
     }
     // What lives on a thread is destroyed there.
-    internal::runOn(onThread, destroy);
+    internal::runOn(contextObject, destroy);
     thread.quit();
     thread.wait();
 }
 
 Result<void> Daemon::start()
 {
-    m_decide = std::make_unique<DecideThread>(makeCore(), m_inward, m_outward, m_decideWaker, m_metrics, m_logger, m_droppedRefusals, [] {
+    m_decideThread = std::make_unique<DecideThread>(makeCore(), m_eventRings, m_actionRings, m_decideWaker, m_metrics, m_logger, m_droppedRefusals, [] {
         QMetaObject::invokeMethod(QCoreApplication::instance(), &QCoreApplication::quit, Qt::QueuedConnection);
     });
-    m_frontThread.start();
-    m_backThread.start();
+    m_callerThread.start();
+    m_backendThread.start();
     m_accountThread.start();
     m_platformThread.start();
     internal::runOn(m_platformWaker, [this] {
-        m_platform = std::make_unique<PlatformClient>(platformAccess());
+        m_platformClient = std::make_unique<PlatformClient>(platformAccess());
     });
     internal::runOn(m_accountWaker, [this] {
-        m_refusals = std::make_unique<RefusalRecorder>(platformAccess(), m_settings.id, m_incarnation, m_droppedRefusals, m_metrics);
-        m_spans = std::make_unique<SpanExporter>(m_settings.collectorUrl, m_settings.id.value, m_metrics);
+        m_refusalRecorder = std::make_unique<RefusalRecorder>(platformAccess(), m_settings.id, m_incarnation, m_droppedRefusals, m_metrics);
+        m_spanExporter = std::make_unique<SpanExporter>(m_settings.collectorUrl, m_settings.id.value, m_metrics);
     });
-    internal::runOn(m_backWaker, [this] {
-        m_back = std::make_unique<BackendClient>(m_settings.backendUrl, [this](decision::RunEnded ended) {
-            if (!m_inward.fromBack.tryPush(std::move(ended))) {
+    internal::runOn(m_backendWaker, [this] {
+        m_backendClient = std::make_unique<BackendClient>(m_settings.backendUrl, [this](decision::RunEnded ended) {
+            if (!m_eventRings.fromBackend.tryPush(std::move(ended))) {
                 m_metrics.count("events_dropped", "ring-full");
             }
         });
     });
     const std::string peerEndpoint = fmt::format("tcp://{}:{}", m_settings.listenAddress, m_settings.peerPort);
-    if (Result<void> bound = m_peer.start(peerEndpoint, m_outward.toPeer); !bound.has_value()) {
+    if (Result<void> bound = m_peerThread.start(peerEndpoint, m_actionRings.toPeer); !bound.has_value()) {
         return bound;
     }
     if (!m_settings.peerKeys.has_value()) {
         m_logger.warning("peer encryption is off: any process that reaches the peer port is taken for a daemon");
     }
-    m_decide->start();
+    m_decideThread->start();
     Result<void> listening;
-    internal::runOn(m_frontWaker, [this, &listening] {
-        const auto takeEvent = [this](decision::Event event) {
-            return m_inward.fromFront.tryPush(std::move(event));
+    internal::runOn(m_callerWaker, [this, &listening] {
+        const auto pushEvent = [this](decision::Event event) {
+            return m_eventRings.fromCallers.tryPush(std::move(event));
         };
-        m_front = std::make_unique<CallerServer>(m_settings.maxBodyBytes, takeEvent, m_metrics);
+        m_callerServer = std::make_unique<CallerServer>(m_settings.maxBodyBytes, pushEvent, m_metrics);
         if (!m_settings.isOpenToOperators) {
-            m_front->requireToken(m_tokens.operators);
+            m_callerServer->requireToken(m_tokens.operators);
         }
-        addReports();
-        listening = m_front->start(m_settings.listenAddress, m_settings.callerPort);
+        addPages();
+        listening = m_callerServer->start(m_settings.listenAddress, m_settings.callerPort);
     });
     if (!listening.has_value()) {
         return listening;
@@ -132,7 +132,7 @@
         const std::uint64_t version = m_settings.platformUrl.empty() ? 1 : 0;
         // Pushed on the thread that writes this ring: it has room for one writer.
         internal::runOn(m_platformWaker, [this, version] {
-            static_cast<void>(m_inward.fromPlatform.tryPush(decision::ManifestChanged{.version = version, .manifest = m_manifest}));
+            static_cast<void>(m_eventRings.fromPlatform.tryPush(decision::ManifestChanged{.version = version, .manifest = m_manifest}));
         });
     }
     if (m_settings.isOpenToOperators) {
@@ -154,10 +154,10 @@
 {
     m_logger.info("draining");
     QMetaObject::invokeMethod(
-        &m_frontWaker,
+        &m_callerWaker,
         [this] {
-            m_front->setReady(false);
-            static_cast<void>(m_inward.fromFront.tryPush(decision::ServerDraining{.isShutdown = true}));
+            m_callerServer->setReady(false);
+            static_cast<void>(m_eventRings.fromCallers.tryPush(decision::ServerDraining{.isShutdown = true}));
         },
         Qt::QueuedConnection);
 }
@@ -184,70 +184,70 @@
     return builder.build();
 }
 
-void Daemon::addReports()
+void Daemon::addPages()
 {
-    m_front->addReport(QStringLiteral("/metrics"), "text/plain; version=0.0.4", [this] {
+    m_callerServer->addPage(QStringLiteral("/metrics"), "text/plain; version=0.0.4", [this] {
         return m_metrics.toPrometheus();
     });
-    m_front->addReport(QStringLiteral("/status"), "application/json", [this] {
-        return m_decide->status();
+    m_callerServer->addPage(QStringLiteral("/status"), "application/json", [this] {
+        return m_decideThread->status();
     });
-    m_front->addLookup(QStringLiteral("/refusals/"), [this](const std::string &id) {
-        return m_refusals->find(id);
+    m_callerServer->addPageLookup(QStringLiteral("/refusals/"), [this](const std::string &id) {
+        return m_refusalRecorder->find(id);
     });
 }
 
-void Daemon::drainFront()
+void Daemon::drainCallerRing()
 {
-    while (const std::unique_ptr<FrontOrder> order = m_outward.toFront.tryPop()) {
-        if (const auto *const answer = std::get_if<decision::AnswerCaller>(order.get())) {
-            m_front->answer(*answer);
+    while (const std::unique_ptr<CallerAction> action = m_actionRings.toCallers.tryPop()) {
+        if (const auto *const answer = std::get_if<decision::AnswerCaller>(action.get())) {
+            m_callerServer->answer(*answer);
         } else {
-            m_front->setReady(std::get<ReadyChanged>(*order).isReady);
+            m_callerServer->setReady(std::get<ReadyChanged>(*action).isReady);
         }
     }
 }
 
-void Daemon::drainBack()
+void Daemon::drainBackendRing()
 {
-    while (const std::unique_ptr<BackOrder> order = m_outward.toBack.tryPop()) {
-        if (const auto *const start = std::get_if<decision::StartRun>(order.get())) {
-            m_back->start(*start);
+    while (const std::unique_ptr<BackendAction> action = m_actionRings.toBackend.tryPop()) {
+        if (const auto *const start = std::get_if<decision::StartRun>(action.get())) {
+            m_backendClient->start(*start);
         } else {
-            m_back->abort(std::get<decision::AbortRun>(*order).execution);
+            m_backendClient->abort(std::get<decision::AbortRun>(*action).execution);
         }
     }
 }
 
-void Daemon::drainPlatform()
+void Daemon::drainPlatformRing()
 {
-    while (const std::unique_ptr<PlatformOrder> order = m_outward.toPlatform.tryPop()) {
-        if (const auto *const size = std::get_if<FleetSizeChanged>(order.get())) {
-            m_platform->setFleetSize(size->daemons);
+    while (const std::unique_ptr<PlatformAction> action = m_actionRings.toPlatform.tryPop()) {
+        if (const auto *const size = std::get_if<FleetSizeChanged>(action.get())) {
+            m_platformClient->setFleetSize(size->daemons);
             QMetaObject::invokeMethod(&m_accountWaker, [this, daemons = size->daemons] {
                 // The account thread ends before this one; what is still queued for it then finds nothing to tell.
-                if (m_refusals != nullptr) {
-                    m_refusals->setFleetSize(daemons);
+                if (m_refusalRecorder != nullptr) {
+                    m_refusalRecorder->setFleetSize(daemons);
                 }
             });
             continue;
         }
-        const auto &ask = std::get<decision::AskPlatform>(*order);
-        m_platform->ask(ask.request, [this, id = ask.id](store::Outcome outcome) {
-            if (!m_inward.fromPlatform.tryPush(decision::PlatformAnswered{.id = id, .outcome = std::move(outcome)})) {
+        const auto &ask = std::get<decision::AskPlatform>(*action);
+        m_platformClient->ask(ask.request, [this, id = ask.id](store::Outcome outcome) {
+            if (!m_eventRings.fromPlatform.tryPush(decision::PlatformAnswered{.id = id, .outcome = std::move(outcome)})) {
                 m_metrics.count("events_dropped", "ring-full");
             }
         });
     }
 }
 
-void Daemon::drainAccount()
+void Daemon::drainAccountRing()
 {
-    while (const std::unique_ptr<AccountOrder> order = m_outward.toAccount.tryPop()) {
-        if (auto *const span = std::get_if<decision::RecordSpan>(order.get())) {
-            m_spans->add(std::move(span->span));
+    while (const std::unique_ptr<AccountAction> action = m_actionRings.toAccount.tryPop()) {
+        if (auto *const span = std::get_if<decision::RecordSpan>(action.get())) {
+            m_spanExporter->add(std::move(span->span));
         } else {
-            m_refusals->add(std::move(std::get<decision::RecordRefusal>(*order).record));
+            m_refusalRecorder->add(std::move(std::get<decision::RecordRefusal>(*action).record));
         }
     }
 }
--- a/src/egretlatch/daemon/daemon.hpp
+++ b/src/egretlatch/daemon/daemon.hpp
@@ -66,12 +66,12 @@
 private:
     [[nodiscard]] std::unique_ptr<decision::Core> makeCore();
     [[nodiscard]] PlatformAccess platformAccess() const;
-    void addReports();
-    void drainFront();
-    void drainBack();
-    void drainAccount();
-    void drainPlatform();
-    void stopThread(QThread &thread, QObject &onThread, const std::function<void()> &destroy);
+    void addPages();
+    void drainCallerRing();
+    void drainBackendRing();
+    void drainAccountRing();
+    void drainPlatformRing();
+    void stopThread(QThread &thread, QObject &contextObject, const std::function<void()> &destroy);
 
     settings::DaemonSettings m_settings;
     Tokens m_tokens;
@@ -83,23 +83,23 @@
     SeededRandom m_random;
     Incarnation m_incarnation;
     ConditionWaker m_decideWaker;
-    InwardRings m_inward;
-    PeerThread m_peer;
-    EventLoopWaker m_frontWaker;
-    EventLoopWaker m_backWaker;
+    EventRings m_eventRings;
+    PeerThread m_peerThread;
+    EventLoopWaker m_callerWaker;
+    EventLoopWaker m_backendWaker;
     EventLoopWaker m_accountWaker;
     EventLoopWaker m_platformWaker;
-    OutwardRings m_outward;
-    QThread m_frontThread;
-    QThread m_backThread;
+    ActionRings m_actionRings;
+    QThread m_callerThread;
+    QThread m_backendThread;
     QThread m_accountThread;
     QThread m_platformThread;
-    std::unique_ptr<CallerServer> m_front;
-    std::unique_ptr<BackendClient> m_back;
-    std::unique_ptr<SpanExporter> m_spans;
-    std::unique_ptr<RefusalRecorder> m_refusals;
-    std::unique_ptr<PlatformClient> m_platform;
-    std::unique_ptr<DecideThread> m_decide;
+    std::unique_ptr<CallerServer> m_callerServer;
+    std::unique_ptr<BackendClient> m_backendClient;
+    std::unique_ptr<SpanExporter> m_spanExporter;
+    std::unique_ptr<RefusalRecorder> m_refusalRecorder;
+    std::unique_ptr<PlatformClient> m_platformClient;
+    std::unique_ptr<DecideThread> m_decideThread;
 };
 
 } // namespace egretlatch::daemon
--- a/src/egretlatch/daemon/decide_thread.cpp
+++ b/src/egretlatch/daemon/decide_thread.cpp
@@ -12,22 +12,22 @@
 
 // Events taken from one ring before the others and the clock get their turn.
 constexpr int batchSize = 64;
-constexpr std::chrono::milliseconds figuresInterval{200};
+constexpr std::chrono::milliseconds gaugeInterval{200};
 constexpr std::chrono::milliseconds statusTimeout{100};
 
 } // namespace internal
 
 DecideThread::DecideThread(std::unique_ptr<decision::Core> core,
-                           InwardRings &inward,
-                           OutwardRings &outward,
+                           EventRings &eventRings,
+                           ActionRings &actionRings,
                            ConditionWaker &waker,
                            account::MetricsSink &metrics,
                            const Logger &logger,
                            account::DroppedTally &droppedRefusals,
                            DrainedHandler onDrained)
     : m_core{std::move(core)}
-    , m_inward{inward}
-    , m_outward{outward}
+    , m_eventRings{eventRings}
+    , m_actionRings{actionRings}
     , m_waker{waker}
     , m_metrics{metrics}
     , m_logger{logger}
@@ -56,10 +56,10 @@
 {
     // At 750 members the document takes milliseconds to write, so it is written when someone asks and not ahead.
     std::unique_lock lock{m_statusMutex};
-    m_isStatusWanted.store(true);
+    m_isStatusRequested.store(true);
     m_waker.wake();
     m_statusWritten.wait_for(lock, internal::statusTimeout, [this] {
-        return !m_isStatusWanted.load();
+        return !m_isStatusRequested.load();
     });
     return m_status;
 }
@@ -71,10 +71,10 @@
         const bool hadEvents = drainRings();
         if (std::chrono::steady_clock::now() >= nextTick) {
             handle(decision::Tick{});
-            publishFigures();
+            publishGauges();
             nextTick = m_core->nextTick();
         }
-        if (m_isStatusWanted.load()) {
+        if (m_isStatusRequested.load()) {
             writeStatus();
         }
         if (hadEvents) {
@@ -89,10 +89,10 @@
 bool DecideThread::drainRings()
 {
     // Ends before beginnings: a freed slot is known before the next call asks for one.
-    bool hadEvents = drainRing(m_inward.fromBack);
-    hadEvents = drainRing(m_inward.fromPeer) || hadEvents;
-    hadEvents = drainRing(m_inward.fromFront) || hadEvents;
-    return drainRing(m_inward.fromPlatform) || hadEvents;
+    bool hadEvents = drainRing(m_eventRings.fromBackend);
+    hadEvents = drainRing(m_eventRings.fromPeer) || hadEvents;
+    hadEvents = drainRing(m_eventRings.fromCallers) || hadEvents;
+    return drainRing(m_eventRings.fromPlatform) || hadEvents;
 }
 
 bool DecideThread::drainRing(Ring<decision::Event> &ring)
@@ -116,36 +116,36 @@
 
 void DecideThread::carryOut(decision::Action action)
 {
-    bool isTaken = true;
+    bool isQueued = true;
     if (auto *const answer = std::get_if<decision::AnswerCaller>(&action)) {
-        isTaken = m_outward.toFront.tryPush(std::move(*answer));
+        isQueued = m_actionRings.toCallers.tryPush(std::move(*answer));
     } else if (auto *const send = std::get_if<decision::SendToPeer>(&action)) {
-        isTaken = sendToPeer(std::move(*send));
+        isQueued = sendToPeer(std::move(*send));
     } else if (auto *const start = std::get_if<decision::StartRun>(&action)) {
         const ExecutionId execution = start->execution;
-        isTaken = m_outward.toBack.tryPush(std::move(*start));
-        if (!isTaken) {
+        isQueued = m_actionRings.toBackend.tryPush(std::move(*start));
+        if (!isQueued) {
             handle(decision::RunEnded{.execution = execution, .result = decision::RunFailure::neverConnected});
         }
     } else if (const auto *const abort = std::get_if<decision::AbortRun>(&action)) {
-        isTaken = m_outward.toBack.tryPush(*abort);
+        isQueued = m_actionRings.toBackend.tryPush(*abort);
     } else if (auto *const refusal = std::get_if<decision::RecordRefusal>(&action)) {
         const WallTime time = refusal->record.time;
-        isTaken = m_outward.toAccount.tryPush(std::move(*refusal));
-        if (!isTaken) {
+        isQueued = m_actionRings.toAccount.tryPush(std::move(*refusal));
+        if (!isQueued) {
             m_droppedRefusals.add(time);
         }
     } else if (auto *const span = std::get_if<decision::RecordSpan>(&action)) {
-        isTaken = m_outward.toAccount.tryPush(std::move(*span));
+        isQueued = m_actionRings.toAccount.tryPush(std::move(*span));
     } else if (auto *const ask = std::get_if<decision::AskPlatform>(&action)) {
         const store::RequestId id = ask->id;
-        isTaken = m_outward.toPlatform.tryPush(std::move(*ask));
-        if (!isTaken) {
+        isQueued = m_actionRings.toPlatform.tryPush(std::move(*ask));
+        if (!isQueued) {
             handle(decision::PlatformAnswered{.id = id, .outcome = tl::unexpected{Error{ErrorCode::unavailable, "the ring to the platform is full"}}});
         }
     } else if (const auto *const inForce = std::get_if<decision::ManifestInForce>(&action)) {
         m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"bringer", inForce->bringer.value}});
-        isTaken = m_outward.toFront.tryPush(ReadyChanged{.isReady = true});
+        isQueued = m_actionRings.toCallers.tryPush(ReadyChanged{.isReady = true});
     } else if (const auto *const changed = std::get_if<decision::MemberChanged>(&action)) {
         m_logger.debug("member changed", {{"member", changed->id.value}, {"state", membership::toString(changed->state)}});
     } else if (const auto *const heard = std::get_if<decision::DepartureHeard>(&action)) {
@@ -153,39 +153,39 @@
     } else if (std::holds_alternative<decision::Drained>(action)) {
         m_onDrained();
     }
-    if (!isTaken) {
+    if (!isQueued) {
         m_metrics.count("orders_dropped", "ring-full");
     }
 }
 
-bool DecideThread::sendToPeer(decision::SendToPeer order)
+bool DecideThread::sendToPeer(decision::SendToPeer action)
 {
-    const auto *const request = std::get_if<protocol::CallRequest>(&order.message);
+    const auto *const request = std::get_if<protocol::CallRequest>(&action.message);
     const std::optional<CallId> call = request == nullptr ? std::nullopt : std::optional{request->call};
-    const DaemonId to = order.to;
-    const bool isTaken = m_outward.toPeer.tryPush(std::move(order));
-    if (!isTaken && call.has_value()) {
+    const DaemonId to = action.to;
+    const bool isQueued = m_actionRings.toPeer.tryPush(std::move(action));
+    if (!isQueued && call.has_value()) {
         handle(decision::SendFailed{.to = to, .call = *call});
     }
-    return isTaken;
+    return isQueued;
 }
 
-void DecideThread::announceFleetSize()
+void DecideThread::forwardFleetSize()
 {
     const int daemons = static_cast<int>(m_core->roster().members().size());
-    if (daemons != m_fleetSize && m_outward.toPlatform.tryPush(FleetSizeChanged{.daemons = daemons})) {
+    if (daemons != m_fleetSize && m_actionRings.toPlatform.tryPush(FleetSizeChanged{.daemons = daemons})) {
         m_fleetSize = daemons;
     }
 }
 
-void DecideThread::publishFigures()
+void DecideThread::publishGauges()
 {
     const SteadyTime now = std::chrono::steady_clock::now();
-    if (now - m_lastFigures < internal::figuresInterval) {
+    if (now - m_lastGaugeUpdate < internal::gaugeInterval) {
         return;
     }
-    m_lastFigures = now;
-    announceFleetSize();
+    m_lastGaugeUpdate = now;
+    forwardFleetSize();
     const admission::LoadReport load = m_core->load();
     m_metrics.set("in_flight", load.inFlight);
     m_metrics.set("concurrency_limit", load.limit);
@@ -198,7 +198,7 @@
     std::string document = statusDocument(m_core->roster(), m_core->configurationReport(), m_core->load());
     const std::lock_guard lock{m_statusMutex};
     m_status = std::move(document);
-    m_isStatusWanted.store(false);
+    m_isStatusRequested.store(false);
     m_statusWritten.notify_all();
 }
 
--- a/src/egretlatch/daemon/decide_thread.hpp
+++ b/src/egretlatch/daemon/decide_thread.hpp
@@ -19,7 +19,7 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Runs the decision core: reads the inward rings, writes the outward ones. */
+/*! @brief Runs the decision core: reads the eventRings rings, writes the actionRings ones. */
 class DecideThread
 {
 public:
@@ -28,17 +28,17 @@
     /**
      * @brief Builds the thread without starting it.
      * @param core The decision core; touched by this thread only, once it runs.
-     * @param inward Rings that it reads; must outlive it.
-     * @param outward Rings that it writes; must outlive it.
-     * @param waker The waker of the inward rings; must outlive it.
+     * @param eventRings Rings that it reads; must outlive it.
+     * @param actionRings Rings that it writes; must outlive it.
+     * @param waker The waker of the eventRings rings; must outlive it.
      * @param metrics Takes counts of dropped orders; must outlive it.
      * @param logger Takes what people should know; must outlive it.
      * @param droppedRefusals Counts refusals that the account thread had no room for; must outlive it.
      * @param onDrained Called once nothing is in flight after a drain.
      */
     DecideThread(std::unique_ptr<decision::Core> core,
-                 InwardRings &inward,
-                 OutwardRings &outward,
+                 EventRings &eventRings,
+                 ActionRings &actionRings,
                  ConditionWaker &waker,
                  account::MetricsSink &metrics,
                  const Logger &logger,
@@ -65,23 +65,23 @@
     [[nodiscard]] bool drainRing(Ring<decision::Event> &ring);
     void handle(const decision::Event &event);
     void carryOut(decision::Action action);
-    void publishFigures();
+    void publishGauges();
     void writeStatus();
-    [[nodiscard]] bool sendToPeer(decision::SendToPeer order);
-    void announceFleetSize();
+    [[nodiscard]] bool sendToPeer(decision::SendToPeer action);
+    void forwardFleetSize();
 
     std::unique_ptr<decision::Core> m_core;
-    InwardRings &m_inward;
-    OutwardRings &m_outward;
+    EventRings &m_eventRings;
+    ActionRings &m_actionRings;
     ConditionWaker &m_waker;
     account::MetricsSink &m_metrics;
     const Logger &m_logger;
     account::DroppedTally &m_droppedRefusals;
     DrainedHandler m_onDrained;
     std::atomic<bool> m_isStopping{false};
-    SteadyTime m_lastFigures;
+    SteadyTime m_lastGaugeUpdate;
     int m_fleetSize{};
-    std::atomic<bool> m_isStatusWanted{false};
+    std::atomic<bool> m_isStatusRequested{false};
     std::mutex m_statusMutex;
     std::condition_variable m_statusWritten;
     std::string m_status{"{}"};
--- a/src/egretlatch/daemon/fwd.hpp
+++ b/src/egretlatch/daemon/fwd.hpp
@@ -4,8 +4,8 @@
 namespace egretlatch::daemon
 {
 
-struct InwardRings;
-struct OutwardRings;
+struct EventRings;
+struct ActionRings;
 
 class CallerServer;
 class GuardedTcpServer;
--- a/src/egretlatch/daemon/guarded_tcp_server.cpp
+++ b/src/egretlatch/daemon/guarded_tcp_server.cpp
@@ -13,11 +13,11 @@
 constexpr char receivedProperty[] = "egretlatchReceived";
 constexpr int payloadTooLarge = 413;
 
-[[nodiscard]] static QByteArray tooLargeAnswer(const std::int64_t mostBytes)
+[[nodiscard]] static QByteArray tooLargeAnswer(const std::int64_t maxRequestBytes)
 {
     decision::CallerAnswer answer;
     answer.status = payloadTooLarge;
-    answer.mistake = fmt::format("the request is larger than {} bytes", mostBytes);
+    answer.mistake = fmt::format("the request is larger than {} bytes", maxRequestBytes);
     const QByteArray body = problemBody(answer);
     std::string text = "HTTP/1.1 413 Payload Too Large\r\nConnection: close\r\n";
     for (const Header &header : problemHeaders(answer)) {
@@ -29,13 +29,13 @@
 
 } // namespace internal
 
-GuardedTcpServer::GuardedTcpServer(const std::int64_t mostBytes, DropHandler onDrop)
-    : m_mostBytes{mostBytes}
+GuardedTcpServer::GuardedTcpServer(const std::int64_t maxRequestBytes, DropHandler onDrop)
+    : m_maxRequestBytes{maxRequestBytes}
     , m_onDrop{std::move(onDrop)}
 {
 }
 
-void GuardedTcpServer::noteRequestTaken(QTcpSocket *const socket)
+void GuardedTcpServer::resetReceivedBytes(QTcpSocket *const socket)
 {
     socket->setProperty(internal::receivedProperty, qlonglong{0});
 }
@@ -48,38 +48,38 @@
         return;
     }
     socket->setSocketOption(QAbstractSocket::LowDelayOption, 1);
-    noteRequestTaken(socket);
+    resetReceivedBytes(socket);
     // Connected before the HTTP server connects its own reader, so it sees the bytes before they are taken.
     connect(socket, &QTcpSocket::readyRead, this, [this, socket] {
-        count(socket);
+        countReceivedBytes(socket);
     });
     connect(socket, &QTcpSocket::disconnected, this, [this, socket] {
-        noteEnd(socket);
+        handleDisconnected(socket);
     });
     addPendingConnection(socket);
 }
 
-void GuardedTcpServer::count(QTcpSocket *const socket) const
+void GuardedTcpServer::countReceivedBytes(QTcpSocket *const socket) const
 {
     const qlonglong before = socket->property(internal::receivedProperty).toLongLong();
     const qlonglong received = before + socket->bytesAvailable();
     socket->setProperty(internal::receivedProperty, received);
-    if (received <= m_mostBytes) {
+    if (received <= m_maxRequestBytes) {
         return;
     }
     socket->readAll();
-    if (before > m_mostBytes) {
+    if (before > m_maxRequestBytes) {
         return;
     }
-    socket->write(internal::tooLargeAnswer(m_mostBytes));
+    socket->write(internal::tooLargeAnswer(m_maxRequestBytes));
     socket->disconnectFromHost();
 }
 
-void GuardedTcpServer::noteEnd(const QTcpSocket *const socket) const
+void GuardedTcpServer::handleDisconnected(const QTcpSocket *const socket) const
 {
     const qlonglong received = socket->property(internal::receivedProperty).toLongLong();
     if (received > 0) {
-        m_onDrop(received > m_mostBytes ? "too-large" : "incomplete");
+        m_onDrop(received > m_maxRequestBytes ? "too-large" : "incomplete");
     }
 }
 
--- a/src/egretlatch/daemon/guarded_tcp_server.hpp
+++ b/src/egretlatch/daemon/guarded_tcp_server.hpp
@@ -26,25 +26,25 @@
 
     /**
      * @brief Builds a server that does not listen yet.
-     * @param mostBytes Bytes that a request may have, headers included.
+     * @param maxRequestBytes Bytes that a request may have, headers included.
      * @param onDrop Called once for each connection that ends so.
      */
-    GuardedTcpServer(std::int64_t mostBytes, DropHandler onDrop);
+    GuardedTcpServer(std::int64_t maxRequestBytes, DropHandler onDrop);
 
     /**
      * @brief Starts the count anew.
      * @param socket A connection whose request has been taken whole.
      */
-    static void noteRequestTaken(QTcpSocket *socket);
+    static void resetReceivedBytes(QTcpSocket *socket);
 
 protected:
     void incomingConnection(qintptr descriptor) override;
 
 private:
-    void count(QTcpSocket *socket) const;
-    void noteEnd(const QTcpSocket *socket) const;
+    void countReceivedBytes(QTcpSocket *socket) const;
+    void handleDisconnected(const QTcpSocket *socket) const;
 
-    std::int64_t m_mostBytes;
+    std::int64_t m_maxRequestBytes;
     DropHandler m_onDrop;
 };
 
--- a/src/egretlatch/daemon/http_client_pool.cpp
+++ b/src/egretlatch/daemon/http_client_pool.cpp
@@ -16,7 +16,7 @@
 
 QNetworkReply *HttpClientPool::send(const QByteArray &method, const QNetworkRequest &request, const QByteArray &body, const Resend resend)
 {
-    Client &client = freeClient();
+    Client &client = availableClient();
     ++client.inFlight;
     QNetworkReply *reply = nullptr;
     if (resend == Resend::never) {
@@ -32,7 +32,7 @@
     return reply;
 }
 
-HttpClientPool::Client &HttpClientPool::freeClient()
+HttpClientPool::Client &HttpClientPool::availableClient()
 {
     const auto found = std::find_if(m_clients.begin(), m_clients.end(), [](const std::unique_ptr<Client> &client) {
         return client->inFlight < internal::connectionsPerManager;
--- a/src/egretlatch/daemon/http_client_pool.hpp
+++ b/src/egretlatch/daemon/http_client_pool.hpp
@@ -45,7 +45,7 @@
         int inFlight{};
     };
 
-    [[nodiscard]] Client &freeClient();
+    [[nodiscard]] Client &availableClient();
 
     std::vector<std::unique_ptr<Client>> m_clients;
 };
--- a/src/egretlatch/daemon/http_headers.cpp
+++ b/src/egretlatch/daemon/http_headers.cpp
@@ -9,7 +9,7 @@
 namespace internal
 {
 
-constexpr std::array<const char *, 19> hopHeaders{
+constexpr std::array<const char *, 19> hopByHopHeaders{
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -35,8 +35,8 @@
 
 bool isEndToEnd(const QByteArray &name)
 {
-    return std::none_of(internal::hopHeaders.begin(), internal::hopHeaders.end(), [&name](const char *const hopHeader) {
-        return name.compare(hopHeader, Qt::CaseInsensitive) == 0;
+    return std::none_of(internal::hopByHopHeaders.begin(), internal::hopByHopHeaders.end(), [&name](const char *const hopByHopHeader) {
+        return name.compare(hopByHopHeader, Qt::CaseInsensitive) == 0;
     });
 }
 
--- a/src/egretlatch/daemon/peer_thread.cpp
+++ b/src/egretlatch/daemon/peer_thread.cpp
@@ -10,13 +10,13 @@
 namespace internal
 {
 
-constexpr int sweepIntervalMs = 1000;
+constexpr int linkUpdateIntervalMs = 1000;
 
 } // namespace internal
 
 PeerThread::PeerThread(
-    DaemonId self, const Incarnation incarnation, std::optional<settings::PeerKeys> keys, Ring<decision::Event> &inward, account::MetricsSink &metrics)
-    : m_inward{inward}
+    DaemonId self, const Incarnation incarnation, std::optional<settings::PeerKeys> keys, Ring<decision::Event> &receivedEvents, account::MetricsSink &metrics)
+    : m_receivedEvents{receivedEvents}
     , m_metrics{metrics}
     , m_exchange{std::move(self),
                  incarnation,
@@ -42,26 +42,26 @@
     }
 }
 
-Result<void> PeerThread::start(const std::string &endpoint, Ring<decision::SendToPeer> &outward)
+Result<void> PeerThread::start(const std::string &endpoint, Ring<decision::SendToPeer> &messagesToSend)
 {
     if (Result<void> bound = m_exchange.start(endpoint); !bound.has_value()) {
         return bound;
     }
-    m_thread = std::thread{[this, &outward] {
-        run(outward);
+    m_thread = std::thread{[this, &messagesToSend] {
+        run(messagesToSend);
     }};
     return {};
 }
 
-void PeerThread::run(Ring<decision::SendToPeer> &outward)
+void PeerThread::run(Ring<decision::SendToPeer> &messagesToSend)
 {
     while (!m_isStopping.load()) {
         std::array<pollfd, 2> watched{
             {{.fd = m_waker.descriptor(), .events = POLLIN, .revents = 0}, {.fd = m_exchange.descriptor(), .events = POLLIN, .revents = 0}}};
-        ::poll(watched.data(), watched.size(), internal::sweepIntervalMs);
+        ::poll(watched.data(), watched.size(), internal::linkUpdateIntervalMs);
         m_waker.reset();
-        while (const std::unique_ptr<decision::SendToPeer> order = outward.tryPop()) {
-            m_exchange.send(*order);
+        while (const std::unique_ptr<decision::SendToPeer> action = messagesToSend.tryPop()) {
+            m_exchange.send(*action);
         }
         m_exchange.work();
     }
@@ -70,7 +70,7 @@
 void PeerThread::push(decision::Event event)
 {
     // What is lost here is harmless: a call whose end is not told ends at its deadline with `may-have-run`.
-    if (!m_inward.tryPush(std::move(event))) {
+    if (!m_receivedEvents.tryPush(std::move(event))) {
         m_metrics.count("messages_dropped", "ring-full");
     }
 }
--- a/src/egretlatch/daemon/peer_thread.hpp
+++ b/src/egretlatch/daemon/peer_thread.hpp
@@ -22,10 +22,11 @@
      * @param self This daemon.
      * @param incarnation Its life.
      * @param keys Keys of the daemons; nothing to speak without encryption and to let anyone in.
-     * @param inward Ring for what comes in; must outlive the thread.
+     * @param receivedEvents Ring for what comes in; must outlive the thread.
      * @param metrics Takes counts of dropped messages; must outlive the thread.
      */
-    PeerThread(DaemonId self, Incarnation incarnation, std::optional<settings::PeerKeys> keys, Ring<decision::Event> &inward, account::MetricsSink &metrics);
+    PeerThread(
+        DaemonId self, Incarnation incarnation, std::optional<settings::PeerKeys> keys, Ring<decision::Event> &receivedEvents, account::MetricsSink &metrics);
     PeerThread(const PeerThread &) = delete;
     PeerThread &operator=(const PeerThread &) = delete;
 
@@ -35,16 +36,16 @@
     /**
      * @brief Binds the socket and starts the thread.
      * @param endpoint Address as `tcp://ADDRESS:PORT`.
-     * @param outward Ring of what is to be sent; must outlive the thread.
+     * @param messagesToSend Ring of what is to be sent; must outlive the thread.
      * @return Nothing, or `unavailable` if the address cannot be had.
      */
-    [[nodiscard]] Result<void> start(const std::string &endpoint, Ring<decision::SendToPeer> &outward);
+    [[nodiscard]] Result<void> start(const std::string &endpoint, Ring<decision::SendToPeer> &messagesToSend);
 
-    /*! @brief Stops the thread and waits for it; to be called before the outward ring ends. */
+    /*! @brief Stops the thread and waits for it; to be called before the messagesToSend ring ends. */
     void stop();
 
     /**
-     * @brief Gives the waker for the outward ring.
+     * @brief Gives the waker for the messagesToSend ring.
      * @return The waker, valid as long as this object.
      */
     [[nodiscard]] Waker &waker() noexcept
@@ -53,10 +54,10 @@
     }
 
 private:
-    void run(Ring<decision::SendToPeer> &outward);
+    void run(Ring<decision::SendToPeer> &messagesToSend);
     void push(decision::Event event);
 
-    Ring<decision::Event> &m_inward;
+    Ring<decision::Event> &m_receivedEvents;
     account::MetricsSink &m_metrics;
     DescriptorWaker m_waker;
     peer::PeerExchange m_exchange;
--- a/src/egretlatch/daemon/platform_client.cpp
+++ b/src/egretlatch/daemon/platform_client.cpp
@@ -28,7 +28,7 @@
     return request;
 }
 
-[[nodiscard]] static bool isAnsweredWhole(const QNetworkReply &reply, const int status)
+[[nodiscard]] static bool hasCompleteAnswer(const QNetworkReply &reply, const int status)
 {
     // Qt reports a status of 400 and above as an error of the content, the server or the protocol, and gives the body.
     constexpr int firstError = 400;
@@ -38,7 +38,7 @@
 [[nodiscard]] static store::Outcome outcomeOf(const store::Request &request, QNetworkReply &reply)
 {
     const int status = reply.attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
-    if (isAnsweredWhole(reply, status)) {
+    if (hasCompleteAnswer(reply, status)) {
         return store::decodeOutcome(request, status, reply.readAll());
     }
     if (reply.error() == QNetworkReply::ConnectionRefusedError) {
--- a/src/egretlatch/daemon/refusal_recorder.cpp
+++ b/src/egretlatch/daemon/refusal_recorder.cpp
@@ -14,25 +14,25 @@
 constexpr std::chrono::seconds storeInterval{30};
 // While more than one batch waits, as after an outage.
 constexpr std::chrono::seconds catchUpInterval{2};
-constexpr std::chrono::seconds firstRetry{1};
-constexpr std::chrono::seconds longestRetry{60};
-constexpr std::chrono::seconds closeTime{2};
+constexpr std::chrono::seconds initialRetryDelay{1};
+constexpr std::chrono::seconds maxRetryDelay{60};
+constexpr std::chrono::seconds closeTimeout{2};
 
 } // namespace internal
 
 RefusalRecorder::RefusalRecorder(
-    const PlatformAccess &access, DaemonId daemon, const Incarnation incarnation, account::DroppedTally &tally, account::MetricsSink &metrics)
+    const PlatformAccess &access, DaemonId daemon, const Incarnation incarnation, account::DroppedTally &droppedRefusals, account::MetricsSink &metrics)
     : m_hasPlatform{!access.url.empty()}
     , m_client{access}
-    , m_tally{tally}
+    , m_droppedRefusals{droppedRefusals}
     , m_metrics{metrics}
     , m_ledger{std::move(daemon), incarnation}
     , m_random{incarnation.value}
-    , m_backoff{internal::firstRetry, internal::longestRetry}
+    , m_backoff{internal::initialRetryDelay, internal::maxRetryDelay}
 {
     // A first interval of random length, so that daemons that started together do not store together.
     const auto interval = static_cast<std::uint64_t>(std::chrono::nanoseconds{internal::storeInterval}.count());
-    m_due = std::chrono::steady_clock::now() + Duration{static_cast<Duration::rep>(m_random.below(interval))};
+    m_nextStore = std::chrono::steady_clock::now() + Duration{static_cast<Duration::rep>(m_random.below(interval))};
     connect(&m_timer, &QTimer::timeout, this, &RefusalRecorder::tick);
     m_timer.start(internal::tickInterval);
 }
@@ -58,11 +58,11 @@
         m_ledger.close(std::chrono::system_clock::now());
     }
     m_isClosing = true;
-    m_due = {};
+    m_nextStore = {};
     m_timer.setInterval(internal::closingTickInterval);
     tick();
     QEventLoop loop;
-    QTimer::singleShot(internal::closeTime, &loop, &QEventLoop::quit);
+    QTimer::singleShot(internal::closeTimeout, &loop, &QEventLoop::quit);
     connect(&m_timer, &QTimer::timeout, &loop, [this, &loop] {
         if (!m_isStoring) {
             loop.quit();
@@ -86,7 +86,7 @@
 
 void RefusalRecorder::tick()
 {
-    if (m_hasPlatform && !m_isStoring && std::chrono::steady_clock::now() >= m_due) {
+    if (m_hasPlatform && !m_isStoring && std::chrono::steady_clock::now() >= m_nextStore) {
         store();
     }
 }
@@ -96,13 +96,13 @@
     std::optional<account::AccountBatch> batch;
     {
         const std::lock_guard lock{m_mutex};
-        if (const std::optional<account::DroppedRefusals> dropped = m_tally.take()) {
+        if (const std::optional<account::DroppedRefusals> dropped = m_droppedRefusals.take()) {
             m_ledger.addDropped(*dropped);
         }
         batch = m_ledger.nextBatch();
     }
     if (!batch.has_value()) {
-        m_due = std::chrono::steady_clock::now() + internal::storeInterval;
+        m_nextStore = std::chrono::steady_clock::now() + internal::storeInterval;
         return;
     }
     m_isStoring = true;
@@ -119,22 +119,22 @@
     if (!outcome.has_value()) {
         // The same batch again under the same name: whether the first put took effect does not matter.
         m_metrics.count("account_batches", "failed");
-        m_due = now + m_backoff.next(m_random);
+        m_nextStore = now + m_backoff.next(m_random);
         return;
     }
     m_metrics.count("account_batches", "stored");
     m_backoff.reset();
-    bool isMoreWaiting = false;
+    bool hasPending = false;
     {
         const std::lock_guard lock{m_mutex};
         m_ledger.acknowledge();
-        isMoreWaiting = m_ledger.waiting() > 0;
+        hasPending = m_ledger.pendingCount() > 0;
     }
     if (m_isClosing) {
         store();
         return;
     }
-    m_due = now + (isMoreWaiting ? Duration{internal::catchUpInterval} : Duration{internal::storeInterval});
+    m_nextStore = now + (hasPending ? Duration{internal::catchUpInterval} : Duration{internal::storeInterval});
 }
 
 } // namespace egretlatch::daemon
--- a/src/egretlatch/daemon/refusal_recorder.hpp
+++ b/src/egretlatch/daemon/refusal_recorder.hpp
@@ -29,7 +29,8 @@
      * @param tally Refusals lost on the way here; must outlive the recorder.
      * @param metrics Takes its counts; must outlive the recorder.
      */
-    RefusalRecorder(const PlatformAccess &access, DaemonId daemon, Incarnation incarnation, account::DroppedTally &tally, account::MetricsSink &metrics);
+    RefusalRecorder(
+        const PlatformAccess &access, DaemonId daemon, Incarnation incarnation, account::DroppedTally &droppedRefusals, account::MetricsSink &metrics);
 
     /**
      * @brief Enters a refusal.
@@ -60,13 +61,13 @@
 
     bool m_hasPlatform;
     PlatformClient m_client;
-    account::DroppedTally &m_tally;
+    account::DroppedTally &m_droppedRefusals;
     account::MetricsSink &m_metrics;
     mutable std::mutex m_mutex;
     account::RefusalLedger m_ledger;
     SeededRandom m_random;
     store::Backoff m_backoff;
-    SteadyTime m_due;
+    SteadyTime m_nextStore;
     bool m_isStoring{};
     bool m_isClosing{};
     QTimer m_timer;
--- a/src/egretlatch/daemon/rings.hpp
+++ b/src/egretlatch/daemon/rings.hpp
@@ -22,44 +22,44 @@
     int daemons{};
 };
 
-using PlatformOrder = std::variant<decision::AskPlatform, FleetSizeChanged>;
-using FrontOrder = std::variant<decision::AnswerCaller, ReadyChanged>;
-using BackOrder = std::variant<decision::StartRun, decision::AbortRun>;
-using AccountOrder = std::variant<decision::RecordRefusal, decision::RecordSpan>;
+using PlatformAction = std::variant<decision::AskPlatform, FleetSizeChanged>;
+using CallerAction = std::variant<decision::AnswerCaller, ReadyChanged>;
+using BackendAction = std::variant<decision::StartRun, decision::AbortRun>;
+using AccountAction = std::variant<decision::RecordRefusal, decision::RecordSpan>;
 
 /*! @brief Values that a ring holds before the reader is taken to be stuck. */
 constexpr std::size_t ringCapacity = 4096;
 
 /*! @brief The rings into the deciding thread, one for each thread that writes. */
-struct InwardRings
+struct EventRings
 {
-    Ring<decision::Event> fromFront;
+    Ring<decision::Event> fromCallers;
     Ring<decision::Event> fromPeer;
-    Ring<decision::Event> fromBack;
+    Ring<decision::Event> fromBackend;
     Ring<decision::Event> fromPlatform;
 
-    explicit InwardRings(Waker &decideWaker)
-        : fromFront{ringCapacity, decideWaker}
+    explicit EventRings(Waker &decideWaker)
+        : fromCallers{ringCapacity, decideWaker}
         , fromPeer{ringCapacity, decideWaker}
-        , fromBack{ringCapacity, decideWaker}
+        , fromBackend{ringCapacity, decideWaker}
         , fromPlatform{ringCapacity, decideWaker}
     {
     }
 };
 
 /*! @brief The rings out of the deciding thread, one for each thread that reads. */
-struct OutwardRings
+struct ActionRings
 {
-    Ring<FrontOrder> toFront;
+    Ring<CallerAction> toCallers;
     Ring<decision::SendToPeer> toPeer;
-    Ring<BackOrder> toBack;
-    Ring<AccountOrder> toAccount;
-    Ring<PlatformOrder> toPlatform;
+    Ring<BackendAction> toBackend;
+    Ring<AccountAction> toAccount;
+    Ring<PlatformAction> toPlatform;
 
-    OutwardRings(Waker &frontWaker, Waker &peerWaker, Waker &backWaker, Waker &accountWaker, Waker &platformWaker)
-        : toFront{ringCapacity, frontWaker}
+    ActionRings(Waker &callerWaker, Waker &peerWaker, Waker &backendWaker, Waker &accountWaker, Waker &platformWaker)
+        : toCallers{ringCapacity, callerWaker}
         , toPeer{ringCapacity, peerWaker}
-        , toBack{ringCapacity, backWaker}
+        , toBackend{ringCapacity, backendWaker}
         , toAccount{ringCapacity, accountWaker}
         , toPlatform{ringCapacity, platformWaker}
     {
--- a/src/egretlatch/daemon/span_exporter.cpp
+++ b/src/egretlatch/daemon/span_exporter.cpp
@@ -15,7 +15,7 @@
 namespace internal
 {
 
-constexpr std::size_t largestBatch = 4096;
+constexpr std::size_t maxBatchSize = 4096;
 constexpr std::chrono::milliseconds exportInterval{500};
 constexpr int otlpServerKind = 2;
 constexpr int otlpStatusError = 2;
@@ -87,7 +87,7 @@
     if (m_collectorUrl.empty()) {
         return;
     }
-    if (m_batch.size() >= internal::largestBatch) {
+    if (m_batch.size() >= internal::maxBatchSize) {
         m_metrics.count("spans_dropped", "batch-full");
         return;
     }
--- a/src/egretlatch/daemon/status_document.cpp
+++ b/src/egretlatch/daemon/status_document.cpp
@@ -26,19 +26,19 @@
 
 [[nodiscard]] static QJsonObject describe(const configuration::Report &report)
 {
-    QJsonArray heard;
-    for (const configuration::HeardVersion &other : report.heard) {
-        heard.append(QJsonObject{
-            {u"id"_qs, toQt(other.daemon.value)},
-            {u"version"_qs, static_cast<qint64>(other.version)},
-            {u"ageMs"_qs, static_cast<qint64>(other.age.count())},
+    QJsonArray peerVersions;
+    for (const configuration::HeardVersion &peerVersion : report.heard) {
+        peerVersions.append(QJsonObject{
+            {u"id"_qs, toQt(peerVersion.daemon.value)},
+            {u"version"_qs, static_cast<qint64>(peerVersion.version)},
+            {u"ageMs"_qs, static_cast<qint64>(peerVersion.age.count())},
         });
     }
     QJsonObject object;
     object[u"version"] = static_cast<qint64>(report.version);
     object[u"hash"] = toQt(report.hash);
     object[u"newestKnown"] = static_cast<qint64>(report.newestKnown);
-    object[u"heard"] = heard;
+    object[u"heard"] = peerVersions;
     return object;
 }
 
--- a/src/egretlatch/sidecar/adaptive_options.cpp
+++ b/src/egretlatch/sidecar/adaptive_options.cpp
@@ -26,7 +26,7 @@
     options.gate.level = has(Mechanism::slowLevels) ? internal::levelTimes : admission::LevelTimes{};
     options.costSource = has(Mechanism::wholeCosts) ? admission::CostSource::observed : admission::CostSource::declared;
     options.refusesAtEntry = has(Mechanism::entryRefusals);
-    options.learnsServers = has(Mechanism::serverKnowledge);
+    options.usesAdaptiveRouter = has(Mechanism::serverKnowledge);
     return options;
 }
 
--- a/test/egretlatch/account/refusal_ledger.cpp
+++ b/test/egretlatch/account/refusal_ledger.cpp
@@ -13,7 +13,7 @@
 {
 
 /*! @brief Makes refusals at the time of a clock. */
-struct Maker
+struct RecordMaker
 {
     RefusalRecord make()
     {
@@ -41,7 +41,7 @@
 
 TEST_CASE("a batch survives the way through the object store")
 {
-    Maker maker;
+    RecordMaker maker;
     AccountBatch batch;
     batch.daemon = {"launch-log-0"};
     batch.incarnation = {0xfedcba9876543210};
@@ -67,7 +67,7 @@
 {
     // An auditor counts refusals twice. The put of a batch takes effect and its answer is lost; a batch made anew under
     // another name would hold the same refusals again.
-    Maker maker;
+    RecordMaker maker;
     RefusalLedger ledger{{"a"}, {1}};
     ledger.add(maker.make());
     const std::optional<AccountBatch> first = ledger.nextBatch();
@@ -82,21 +82,21 @@
     CHECK(second->sequence == 2);
     ledger.acknowledge();
     CHECK_FALSE(ledger.nextBatch().has_value());
-    CHECK(ledger.waiting() == 0);
+    CHECK(ledger.pendingCount() == 0);
 }
 
 TEST_CASE("in a long outage memory is bounded, and what was dropped is an entry with its span")
 {
     // The store is down for an hour of overload. The daemon would run out of its 128 MB; or it would drop refusals in
     // silence, and an auditor would take the account for whole.
-    Maker maker;
-    RefusalLedger ledger{{"a"}, {1}, {.waiting = 100, .batch = 30, .recent = 10}};
+    RecordMaker maker;
+    RefusalLedger ledger{{"a"}, {1}, {.maxPending = 100, .maxBatch = 30, .maxRecent = 10}};
     for (int second = 0; second < 600; ++second) {
         ledger.add(maker.make());
         static_cast<void>(ledger.nextBatch());
         maker.clock.advance(std::chrono::seconds{1});
     }
-    CHECK(ledger.waiting() == 100);
+    CHECK(ledger.pendingCount() == 100);
     std::size_t refusals = 0;
     std::uint64_t dropped = 0;
     while (const std::optional<AccountBatch> batch = ledger.nextBatch()) {
@@ -114,7 +114,7 @@
 
 TEST_CASE("the last batch of a life says that it is the last")
 {
-    Maker maker;
+    RecordMaker maker;
     RefusalLedger ledger{{"a"}, {1}};
     ledger.add(maker.make());
     maker.clock.advance(std::chrono::minutes{3});
@@ -132,8 +132,8 @@
 
 TEST_CASE("recent refusals can be looked up before and after they are stored")
 {
-    Maker maker;
-    RefusalLedger ledger{{"a"}, {1}, {.recent = 2}};
+    RecordMaker maker;
+    RefusalLedger ledger{{"a"}, {1}, {.maxRecent = 2}};
     const RefusalRecord first = maker.make();
     const RefusalRecord second = maker.make();
     ledger.add(first);
@@ -146,7 +146,7 @@
 
 TEST_CASE("no entry of the account holds a body, a header or a key")
 {
-    Maker maker;
+    RecordMaker maker;
     const QJsonObject entry = toJson(maker.make());
     const QStringList allowed{u"configurationVersion"_qs,
                               u"figures"_qs,
--- a/test/egretlatch/cli/sessions.cpp
+++ b/test/egretlatch/cli/sessions.cpp
@@ -124,7 +124,7 @@
 TEST_CASE("a session of operators who explain refusals")
 {
     Session session;
-    account::RefusalLedger ledger{{"launch-log-0"}, {17}, {.waiting = 3}};
+    account::RefusalLedger ledger{{"launch-log-0"}, {17}, {.maxPending = 3}};
     const WallTime start = session.clock.wallNow();
     const account::RefusalRecord refusal = makeRefusal(session, account::RefusalReason::overloadAtServer, "launch-entry");
     ledger.add(refusal);
--- a/test/egretlatch/daemon/peer_thread.cpp
+++ b/test/egretlatch/daemon/peer_thread.cpp
@@ -40,10 +40,10 @@
 struct Peer
 {
     Peer(const std::string &id, const std::uint64_t incarnation, const std::string &endpoint, std::optional<settings::PeerKeys> keys)
-        : thread{{id}, {incarnation}, std::move(keys), inward, metrics}
-        , outward{100, thread.waker()}
+        : thread{{id}, {incarnation}, std::move(keys), receivedEvents, metrics}
+        , messagesToSend{100, thread.waker()}
     {
-        REQUIRE(thread.start(endpoint, outward).has_value());
+        REQUIRE(thread.start(endpoint, messagesToSend).has_value());
     }
 
     Peer(const Peer &) = delete;
@@ -59,7 +59,7 @@
         protocol::CallRequest request;
         request.call = {call};
         request.root = *Uuid::fromBytes(std::string(16, 'r'));
-        REQUIRE(outward.tryPush({.to = {to}, .endpoint = endpoint, .message = request}));
+        REQUIRE(messagesToSend.tryPush({.to = {to}, .endpoint = endpoint, .message = request}));
     }
 
     // The next event of a type; the limit only keeps a broken run from hanging.
@@ -68,7 +68,7 @@
     {
         const auto limit = std::chrono::steady_clock::now() + 30s;
         while (std::chrono::steady_clock::now() < limit) {
-            const std::unique_ptr<decision::Event> event = inward.tryPop();
+            const std::unique_ptr<decision::Event> event = receivedEvents.tryPop();
             if (event == nullptr) {
                 waker.waitUntil(std::chrono::steady_clock::now() + 10ms);
             } else if (const auto *const found = std::get_if<Type>(event.get())) {
@@ -87,9 +87,9 @@
 
     account::MetricsRegistry metrics;
     ConditionWaker waker;
-    Ring<decision::Event> inward{100, waker};
+    Ring<decision::Event> receivedEvents{100, waker};
     PeerThread thread;
-    Ring<decision::SendToPeer> outward;
+    Ring<decision::SendToPeer> messagesToSend;
 };
 
 } // namespace
