--- a/src/egretlatch/account/account_batch.cpp
+++ b/src/egretlatch/account/account_batch.cpp
@@ -35,7 +35,7 @@
     };
 }
 
-// An object that claims to unpack to gigabytes must not take the reader's memory.
+// The first four bytes announce the uncompressed size; the limit keeps a corrupt object from exhausting the reader's memory.
 [[nodiscard]] static bool isSizeValid(const QByteArray &bytes)
 {
     return bytes.size() > static_cast<qsizetype>(sizeof(quint32)) && qFromBigEndian<quint32>(bytes.constData()) <= maxBatchBytes;
--- a/src/egretlatch/account/account_batch.hpp
+++ b/src/egretlatch/account/account_batch.hpp
@@ -14,52 +14,52 @@
 namespace egretlatch::account
 {
 
-/*! @brief Part of one daemon's account, as one object of the store; all refusals in it were made in one minute. */
+/*! @brief Part of one daemon's account, stored as one object. All its refusals were made in the same minute. */
 struct AccountBatch
 {
     DaemonId daemon;
     Incarnation incarnation;
-    /*! @brief Counts the batches of one life from one, so that a reader sees if one is missing. */
+    /*! @brief Numbers the batches of one incarnation from 1, so that a reader detects missing ones. */
     std::uint64_t sequence{};
-    /*! @brief The minute that it belongs to. */
+    /*! @brief Start of the minute in which the refusals were made. */
     WallTime minute;
     std::vector<RefusalRecord> refusals;
-    /*! @brief What could not be kept; in the last minute of its span. */
+    /*! @brief Dropped refusals; each entry belongs to the batch of the last minute of its time span. */
     std::vector<DroppedRefusals> dropped;
-    /*! @brief The daemon ended in good order after this batch; a life without such a batch may have lost its last minute. */
+    /*! @brief Marks the last batch before a clean shutdown. An incarnation without such a batch may have lost its last minute. */
     bool isLast{};
 
     friend bool operator==(const AccountBatch &, const AccountBatch &) = default;
 };
 
-/*! @brief Prefix of the names of all batches. */
+/*! @brief Prefix of the object names of all batches. */
 inline constexpr const char *accountPrefix = "account/";
 
 /**
- * @brief Gives the prefix of the batches of a minute; in the order of time.
- * @param time A time in that minute.
- * @return The prefix.
+ * @brief Returns the object name prefix of the batches of a minute. Prefixes sort by time.
+ * @param time Any time in that minute.
+ * @return Prefix of the object names.
  */
 [[nodiscard]] std::string minutePrefix(WallTime time);
 
 /**
- * @brief Gives the name of the object with a batch.
+ * @brief Returns the object name of a batch.
  * @param batch The batch.
- * @return The name, below minutePrefix().
+ * @return Object name, which starts with minutePrefix().
  */
 [[nodiscard]] std::string objectName(const AccountBatch &batch);
 
 /**
- * @brief Writes a batch.
- * @param batch The batch.
- * @return JSON, compressed by zlib behind four bytes of its length, as qCompress() does.
+ * @brief Encodes a batch.
+ * @param batch Batch to encode.
+ * @return JSON in the format of qCompress(): four bytes of uncompressed length, then zlib data.
  */
 [[nodiscard]] QByteArray encodeBatch(const AccountBatch &batch);
 
 /**
- * @brief Reads a batch.
- * @param bytes The object; anything may stand there.
- * @return The batch, or nothing.
+ * @brief Decodes a batch.
+ * @param bytes Content of the object; may be arbitrary data.
+ * @return Batch, or nothing if the data is not a valid batch.
  */
 [[nodiscard]] std::optional<AccountBatch> decodeBatch(const QByteArray &bytes);
 
--- a/src/egretlatch/account/dropped_tally.hpp
+++ b/src/egretlatch/account/dropped_tally.hpp
@@ -10,13 +10,13 @@
 namespace egretlatch::account
 {
 
-/*! @brief Counts refusals that never reached the account, such as when a ring was full; safe to use from any thread. */
+/*! @brief Counts refusals that were dropped before they reached the account, for example because a ring was full. Thread-safe. */
 class DroppedTally
 {
 public:
     /**
-     * @brief Counts one.
-     * @param time When it was made.
+     * @brief Counts one refusal.
+     * @param time Time at which the refusal was made.
      */
     void add(const WallTime time)
     {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * @brief Counts those that were counted elsewhere.
-     * @param dropped The count with its span.
+     * @brief Adds refusals that were counted elsewhere.
+     * @param dropped Count and its time span.
      */
     void add(const DroppedRefusals &dropped)
     {
@@ -41,8 +41,8 @@
     }
 
     /**
-     * @brief Gives what was counted and starts anew.
-     * @return The count with its span, or nothing.
+     * @brief Returns the count and resets it.
+     * @return Count and its time span, or nothing if no refusal was counted.
      */
     [[nodiscard]] std::optional<DroppedRefusals> take()
     {
--- a/src/egretlatch/account/metrics_registry.cpp
+++ b/src/egretlatch/account/metrics_registry.cpp
@@ -11,7 +11,7 @@
 namespace internal
 {
 
-/*! @brief What the variants of a metric are told apart by. */
+/*! @brief Label name of a metric. */
 struct LabelName
 {
     std::string_view metric;
@@ -48,7 +48,7 @@
     return label.empty() ? std::string{} : fmt::format("{{{}=\"{}\"}}", labelNameOf(metric), label);
 }
 
-// The type stands once before all variants of a metric.
+// Prometheus expects the type of a metric once, before its samples.
 static void writeType(std::string &text, std::string &last, const std::string &name, const std::string_view type)
 {
     if (name != last) {
--- a/src/egretlatch/account/metrics_registry.hpp
+++ b/src/egretlatch/account/metrics_registry.hpp
@@ -19,7 +19,7 @@
 namespace egretlatch::account
 {
 
-/*! @brief Keeps counters, gauges and histograms, and writes them as Prometheus text; safe to use from any thread. */
+/*! @brief Stores counters, gauges and histograms and exports them as Prometheus text. Thread-safe. */
 class MetricsRegistry final : public MetricsSink
 {
 public:
@@ -28,12 +28,12 @@
     void set(std::string_view name, double value) override;
 
     /**
-     * @brief Writes all numbers.
-     * @return Text in the Prometheus exposition format; spans of time in seconds.
+     * @brief Exports all metrics.
+     * @return Text in the Prometheus exposition format; durations in seconds.
      */
     [[nodiscard]] std::string toPrometheus() const;
 
-    /*! @brief Upper ends of the buckets of spans of time, in seconds: from a call on one VM to the longest deadline. */
+    /*! @brief Upper bounds of the histogram buckets in seconds, from a call on one VM to the longest deadline. */
     static constexpr std::array<double, 13> bucketBounds{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0};
 
 private:
@@ -44,7 +44,7 @@
     struct Histogram
     {
         Summary summary;
-        /*! @brief Values up to each end and above the one before. */
+        /*! @brief Number of values in each bucket, not cumulative. */
         std::array<std::uint64_t, bucketBounds.size()> buckets{};
     };
 
--- a/src/egretlatch/account/metrics_sink.hpp
+++ b/src/egretlatch/account/metrics_sink.hpp
@@ -8,7 +8,7 @@
 namespace egretlatch::account
 {
 
-/*! @brief Takes the numbers that parts of the daemon count and measure. */
+/*! @brief Receives the metrics of the daemon's components. */
 class MetricsSink
 {
 public:
@@ -17,22 +17,22 @@
     /**
      * @brief Counts an event.
      * @param name Name of the counter, in snake case without prefix.
-     * @param label Value that tells variants apart, such as a reason; may be empty.
+     * @param label Label value, such as a reason; may be empty.
      */
     virtual void count(std::string_view name, std::string_view label) = 0;
 
     /**
-     * @brief Takes one measured span of time.
-     * @param name Name of the measure, in snake case without prefix and unit.
-     * @param label Value that tells variants apart; may be empty.
-     * @param value The span.
+     * @brief Records a measured duration.
+     * @param name Name of the histogram, in snake case without prefix and unit.
+     * @param label Label value; may be empty.
+     * @param value Duration to record.
      */
     virtual void observe(std::string_view name, std::string_view label, Duration value) = 0;
 
     /**
-     * @brief Sets a number that goes up and down.
+     * @brief Sets the value of a gauge.
      * @param name Name of the gauge, in snake case without prefix.
-     * @param value The number now.
+     * @param value Current value.
      */
     virtual void set(std::string_view name, double value) = 0;
 };
--- a/src/egretlatch/account/refusal.hpp
+++ b/src/egretlatch/account/refusal.hpp
@@ -14,31 +14,31 @@
 namespace egretlatch::account
 {
 
-/*! @brief Why a request was refused. */
+/*! @brief Reason for refusing a request. */
 enum class RefusalReason {
-    /*! @brief The entry daemon saw that a service down the chain refuses requests of this rank. */
+    /*! @brief A downstream service refuses requests of this rank, as known to the entry daemon. */
     overloadAtEntry,
     /*! @brief The serving daemon refuses requests of this rank. */
     overloadAtServer,
-    /*! @brief The request waited for a slot and gave way to others, or waited too long. */
+    /*! @brief The request was displaced from the queue by others, or waited too long for a slot. */
     overloadInQueue,
-    /*! @brief The time that the caller gave has passed. */
+    /*! @brief The caller's deadline has passed. */
     deadlinePassed,
-    /*! @brief The caller went away. */
+    /*! @brief The caller closed its connection. */
     cancelled,
-    /*! @brief No backend server of the service is known, or none takes new work. */
+    /*! @brief No backend server of the service is known, or none accepts new requests. */
     noServer,
-    /*! @brief The chosen backend server could not be reached, or was lost before it answered. */
+    /*! @brief The chosen backend server could not be reached, or its connection was lost before it answered. */
     serverLost,
-    /*! @brief The backend server is leaving and takes no new work. */
+    /*! @brief The backend server is shutting down and accepts no new requests. */
     draining,
-    /*! @brief The attempts that the root may spend are used up. */
+    /*! @brief The retry budget of the root request is used up. */
     retryBudgetSpent,
-    /*! @brief The daemon that knows what became of this request key cannot be asked. */
+    /*! @brief The daemon that owns the request key, and so knows its state, is unknown or cannot be reached. */
     keyOwnerUnknown,
-    /*! @brief The same request key is being run, or its outcome is no longer held. */
+    /*! @brief A request with the same key is running, or its outcome is no longer stored. */
     keyAlreadyUsed,
-    /*! @brief What must last cannot be written now, so the request is not begun. */
+    /*! @brief State that must be durable cannot be written at present, so the request is not started. */
     storeUnavailable,
     /*! @brief Requests like this one have crashed backend servers. */
     quarantined,
@@ -47,34 +47,34 @@
 };
 
 /**
- * @brief Gives the name used in answers and records.
- * @param reason The reason to name.
- * @return A name in lower case with dashes, such as `overload-at-entry`.
+ * @brief Returns the name used in answers and records.
+ * @param reason Reason to name.
+ * @return Name in lower case with dashes, such as `overload-at-entry`.
  */
 [[nodiscard]] std::string_view toString(RefusalReason reason) noexcept;
 
 /**
- * @brief Reads a reason by its name.
- * @param name One of the names that toString() gives.
- * @return The reason, or nothing for any other name.
+ * @brief Finds a reason by its name.
+ * @param name Name as returned by toString().
+ * @return Reason, or nothing for any other name.
  */
 [[nodiscard]] std::optional<RefusalReason> refusalReasonFromString(std::string_view name) noexcept;
 
 /**
- * @brief Tells whether a reason speaks of too little capacity.
+ * @brief Checks if a reason indicates a lack of capacity.
  * @param reason The reason.
- * @return True if resending at once would only add to the load.
+ * @return True if an immediate resend would only increase the load.
  */
 [[nodiscard]] bool isOverload(RefusalReason reason) noexcept;
 
 /**
- * @brief Gives the HTTP status that a refusal is answered with.
+ * @brief Returns the HTTP status of the answer to a refused request.
  * @param reason The reason.
- * @return 429, 502, 503, 504 or 409.
+ * @return 409, 429, 499, 502, 503 or 504.
  */
 [[nodiscard]] int httpStatus(RefusalReason reason) noexcept;
 
-/*! @brief An observed number that a refusal rests on. */
+/*! @brief Observed value on which a refusal is based. */
 struct Figure
 {
     std::string name;
@@ -84,24 +84,24 @@
 };
 
 /**
- * @brief Gives figures as text.
- * @param figures The figures.
- * @return `name=value`, with spaces between them.
+ * @brief Formats figures as text.
+ * @param figures Figures to format.
+ * @return `name=value` pairs, separated by spaces.
  */
 [[nodiscard]] std::string toText(const std::vector<Figure> &figures);
 
-/*! @brief A refusal as it is answered and recorded. */
+/*! @brief Refusal as sent to the caller and recorded in the account. */
 struct Refusal
 {
-    /*! @brief Names this refusal in the account. */
+    /*! @brief Identifies this refusal in the account. */
     Uuid id;
     RefusalReason reason{};
-    /*! @brief The rule that refused, with the daemon that applied it. */
+    /*! @brief Rule that refused the request, with the daemon that applied it. */
     std::string rule;
     std::vector<Figure> figures;
-    /*! @brief When to come back; zero where that would not help. */
+    /*! @brief Delay after which to retry; zero where a retry would not help. */
     std::chrono::milliseconds retryAfter{};
-    /*! @brief Version of the configuration that was in force. */
+    /*! @brief Version of the configuration in force at the time. */
     std::uint64_t configurationVersion{};
 
     friend bool operator==(const Refusal &, const Refusal &) = default;
--- a/src/egretlatch/account/refusal_ledger.cpp
+++ b/src/egretlatch/account/refusal_ledger.cpp
@@ -14,7 +14,7 @@
     return std::chrono::floor<std::chrono::minutes>(time);
 }
 
-// By the id, not by the clock at the entry: whoever looks the id up knows nothing else.
+// Taken from the id and not from the record's time, because a lookup knows only the id.
 [[nodiscard]] static WallTime minuteOf(const RefusalRecord &record)
 {
     return minuteOf(record.refusal.id.mintedAt().value_or(record.time));
@@ -33,7 +33,7 @@
 {
     addToRecent(record);
     if (m_pending >= m_limits.maxPending) {
-        // In a long outage of the store memory would grow without end; the account says instead what it lacks.
+        // Without a limit, memory would grow during a long outage of the store. The account records what was dropped instead.
         m_overflow.add(record.time);
         return;
     }
--- a/src/egretlatch/account/refusal_ledger.hpp
+++ b/src/egretlatch/account/refusal_ledger.hpp
@@ -12,70 +12,70 @@
 namespace egretlatch::account
 {
 
-/*! @brief How much a ledger holds. */
+/*! @brief Limits of a refusal ledger. */
 struct RefusalLedgerLimits
 {
-    /*! @brief Refusals that wait to be stored; later ones are dropped and counted. */
+    /*! @brief Maximum number of refusals that wait to be stored; further ones are dropped and counted. */
     std::size_t maxPending{20'000};
-    /*! @brief Refusals of one batch. */
+    /*! @brief Maximum number of refusals in one batch. */
     std::size_t maxBatch{5000};
-    /*! @brief Refusals that can be looked up, stored or not. */
+    /*! @brief Maximum number of recent refusals that can be looked up, stored or not. */
     std::size_t maxRecent{5000};
 
     friend bool operator==(const RefusalLedgerLimits &, const RefusalLedgerLimits &) = default;
 };
 
-/*! @brief One daemon's account of its refusals until the object store has them; bounded, does no input or output. */
+/*! @brief Holds a daemon's refusals until they are in the object store. Bounded; does no I/O itself. */
 class RefusalLedger
 {
 public:
     /**
-     * @brief Builds an empty ledger.
-     * @param daemon Whose account it is.
-     * @param incarnation Which life of the daemon.
-     * @param limits How much it holds.
+     * @brief Creates an empty ledger.
+     * @param daemon Id of the daemon.
+     * @param incarnation Incarnation of the daemon.
+     * @param limits Limits of the ledger.
      */
     RefusalLedger(DaemonId daemon, Incarnation incarnation, RefusalLedgerLimits limits = {});
 
     /**
-     * @brief Enters a refusal.
-     * @param record The refusal.
+     * @brief Adds a refusal.
+     * @param record Refusal to add.
      */
     void add(RefusalRecord record);
 
     /**
-     * @brief Enters what was lost before it came here.
-     * @param dropped The count with its span.
+     * @brief Adds refusals that were dropped before they reached the ledger.
+     * @param dropped Count and its time span.
      */
     void addDropped(const DroppedRefusals &dropped);
 
     /**
-     * @brief Gives the batch to store next.
+     * @brief Returns the batch to store next.
      *
-     * The same one until it is acknowledged, so that a put whose answer was lost is repeated under the same name.
-     * @return The batch, or nothing if all is stored.
+     * Returns the same batch until it is acknowledged, so that a put whose response was lost is repeated under the same name.
+     * @return Batch, or nothing if all refusals are stored.
      */
     [[nodiscard]] std::optional<AccountBatch> nextBatch();
 
-    /*! @brief Forgets the batch that nextBatch() gave last: the store has it. */
+    /*! @brief Removes the batch last returned by nextBatch(), after it was stored. */
     void acknowledge();
 
     /**
-     * @brief Marks the end of this life; the last batch says so, and is made even without refusals.
+     * @brief Marks the end of this incarnation. A last batch with `isLast` set follows, even without refusals.
      * @param now Current time.
      */
     void close(WallTime now);
 
     /**
      * @brief Looks up a refusal.
-     * @param id Its id.
-     * @return The record, or nothing if it is not among the recent ones.
+     * @param id Id of the refusal.
+     * @return Record, or nothing if it is not among the recent ones.
      */
     [[nodiscard]] std::optional<RefusalRecord> find(const Uuid &id) const;
 
     /**
-     * @brief Gives how many refusals wait to be stored.
-     * @return The number, those of an unacknowledged batch included.
+     * @brief Returns the number of refusals that are not stored yet.
+     * @return Number of refusals, including those of an unacknowledged batch.
      */
     [[nodiscard]] std::size_t pendingCount() const noexcept
     {
--- a/src/egretlatch/account/refusal_record.cpp
+++ b/src/egretlatch/account/refusal_record.cpp
@@ -30,35 +30,35 @@
 {
     switch (reason) {
     case RefusalReason::overloadAtEntry:
-        return "a service that it needs was overloaded and refused requests of its rank, so it was not begun";
+        return "a service that it depends on was overloaded and refused requests of its rank, so it was not started";
     case RefusalReason::overloadAtServer:
         return "the service was overloaded and refused requests of its rank";
     case RefusalReason::overloadInQueue:
-        return "the service was overloaded, and the request gave way to more important ones or waited too long";
+        return "the service was overloaded, and the request was displaced by more important ones or waited too long";
     case RefusalReason::deadlinePassed:
-        return "the time that it had been given passed";
+        return "its deadline passed";
     case RefusalReason::cancelled:
-        return "its caller went away";
+        return "its caller closed the connection";
     case RefusalReason::noServer:
-        return "no backend server of the service took new work";
+        return "no backend server of the service accepted new requests";
     case RefusalReason::serverLost:
         return "the backend server could not be reached or was lost before it answered";
     case RefusalReason::draining:
-        return "the backend server was leaving";
+        return "the backend server was shutting down";
     case RefusalReason::retryBudgetSpent:
-        return "the attempts that it may spend were used up";
+        return "its retry budget was used up";
     case RefusalReason::keyOwnerUnknown:
-        return "the daemon that knows what became of this request could not be asked";
+        return "the daemon that owns its request key was unknown or could not be reached";
     case RefusalReason::keyAlreadyUsed:
-        return "the same request had been sent before";
+        return "a request with the same key had been sent before";
     case RefusalReason::storeUnavailable:
-        return "what must last could not be written, so it was not begun";
+        return "state that must be durable could not be written, so it was not started";
     case RefusalReason::quarantined:
-        return "requests like it had crashed backend servers";
+        return "similar requests had crashed backend servers";
     case RefusalReason::daemonBusy:
-        return "the daemon had more calls waiting than it could look at";
+        return "the daemon had more calls waiting than it could process";
     }
-    return "of a reason that this program does not know";
+    return "the reason is not known to this version";
 }
 
 [[nodiscard]] static std::string_view explain(const Verdict verdict)
@@ -162,8 +162,8 @@
     text += fmt::format(" Its priority was {} and its worth {:g} under configuration {}.", record.priority, record.worth, record.refusal.configurationVersion);
     text += fmt::format(" Rule: {}. Figures: {}.", record.refusal.rule, internal::listFigures(record.refusal.figures));
     if (record.refusal.retryAfter.count() > 0) {
-        text +=
-            fmt::format(" It was told to come back after {:g} s.", static_cast<double>(record.refusal.retryAfter.count()) / internal::millisecondsPerSecond);
+        text += fmt::format(" The caller was told to retry after {:g} s.",
+                            static_cast<double>(record.refusal.retryAfter.count()) / internal::millisecondsPerSecond);
     }
     return text;
 }
--- a/src/egretlatch/account/refusal_record.hpp
+++ b/src/egretlatch/account/refusal_record.hpp
@@ -15,26 +15,26 @@
 namespace egretlatch::account
 {
 
-/*! @brief One refusal with what the account keeps of its request. */
+/*! @brief Refusal with the data of its request that the account stores. */
 struct RefusalRecord
 {
     Refusal refusal;
     Verdict verdict{};
     Uuid root;
-    /*! @brief xxHash of the request key; zero without one. The key itself is not kept. */
+    /*! @brief xxHash of the request key; zero without a key. The key itself is not stored. */
     std::uint64_t keyFingerprint{};
     std::string service;
     std::string kind;
-    /*! @brief Priority as it stood when the request was refused. */
+    /*! @brief Priority of the request when it was refused. */
     int priority{};
-    /*! @brief Worth as it stood when the request was refused. */
+    /*! @brief Worth of the request when it was refused. */
     double worth{};
     WallTime time;
 
     friend bool operator==(const RefusalRecord &, const RefusalRecord &) = default;
 };
 
-/*! @brief Refusals that the account could not keep. */
+/*! @brief Count and time span of refusals that the account could not store. */
 struct DroppedRefusals
 {
     std::uint64_t count{};
@@ -45,23 +45,23 @@
 };
 
 /**
- * @brief Writes a record for the account.
+ * @brief Encodes a record for the account.
  * @param record The record.
- * @return JSON; times in milliseconds since 1970.
+ * @return JSON object; times in milliseconds since 1970.
  */
 [[nodiscard]] QJsonObject toJson(const RefusalRecord &record);
 
 /**
- * @brief Reads a record of the account.
- * @param object What toJson() gave.
- * @return The record, or nothing if anything else stands there.
+ * @brief Decodes a record of the account.
+ * @param object Object as returned by toJson().
+ * @return Record, or nothing if the object is not a valid record.
  */
 [[nodiscard]] std::optional<RefusalRecord> refusalRecordFromJson(const QJsonObject &object);
 
 /**
- * @brief Explains a refusal to the member whose request it was.
+ * @brief Explains a refusal in plain English, for the sender of the request.
  * @param record The record.
- * @return A few sentences of plain English.
+ * @return A few sentences.
  */
 [[nodiscard]] std::string toSentence(const RefusalRecord &record);
 
--- a/src/egretlatch/account/span.hpp
+++ b/src/egretlatch/account/span.hpp
@@ -12,28 +12,28 @@
 namespace egretlatch::account
 {
 
-/*! @brief Which hop a span covers. */
+/*! @brief Hop that a span covers. */
 enum class Hop {
-    /*! @brief From the caller's request to its answer. */
+    /*! @brief The entry daemon's handling, from the caller's request to its answer. */
     entry,
-    /*! @brief One attempt, from the daemon that makes it to the serving daemon and back. */
+    /*! @brief One attempt, from the daemon that sends it to the serving daemon and back. */
     attempt,
     /*! @brief Waiting for a slot and running at the backend server. */
     serving,
 };
 
 /**
- * @brief Gives the name used in exported spans.
+ * @brief Returns the name used in exported spans.
  * @param hop The hop.
  * @return One of `entry`, `attempt`, `serving`.
  */
 [[nodiscard]] std::string_view toString(Hop hop) noexcept;
 
-/*! @brief One finished hop of a trace. */
+/*! @brief Finished span of a trace. */
 struct Span
 {
     TraceContext context;
-    /*! @brief Span of the hop above; empty for the first. */
+    /*! @brief Id of the parent span; empty for the root span. */
     std::string parentSpanId;
     Hop hop{};
     std::string service;
--- a/src/egretlatch/account/trace_context.hpp
+++ b/src/egretlatch/account/trace_context.hpp
@@ -11,12 +11,12 @@
 namespace egretlatch::account
 {
 
-/*! @brief Place of a call in a trace, as in W3C Trace Context. */
+/*! @brief Trace context of a call, as defined by W3C Trace Context. */
 struct TraceContext
 {
     /*! @brief 32 hexadecimal digits, in lower case. */
     std::string traceId;
-    /*! @brief 16 hexadecimal digits, in lower case; the span that the next hop is a child of. */
+    /*! @brief 16 hexadecimal digits, in lower case; the parent span of the next hop. */
     std::string spanId;
     bool sampled{};
 
@@ -24,31 +24,31 @@
 };
 
 /**
- * @brief Reads a `traceparent` header.
+ * @brief Parses a `traceparent` header.
  * @param header Value of the header.
- * @return The context, or nothing if the header is malformed.
+ * @return Context, or nothing if the header is malformed.
  */
 [[nodiscard]] std::optional<TraceContext> parseTraceParent(std::string_view header);
 
 /**
- * @brief Writes a `traceparent` header.
- * @param context The context.
+ * @brief Formats a `traceparent` header.
+ * @param context Context to format.
  * @return Value of the header, version 00.
  */
 [[nodiscard]] std::string toTraceParent(const TraceContext &context);
 
 /**
  * @brief Starts a trace.
- * @param random Source of the ids.
- * @return A sampled context with new ids.
+ * @param random Source of the trace and span ids.
+ * @return Sampled context with new ids.
  */
 [[nodiscard]] TraceContext startTrace(RandomSource &random);
 
 /**
- * @brief Steps one hop down.
- * @param parent The context of the hop above.
- * @param random Source of the new span's id.
- * @return The same trace with a new span.
+ * @brief Creates the context of a child span.
+ * @param parent Context of the parent span.
+ * @param random Source of the new span id.
+ * @return Context with the same trace and a new span id.
  */
 [[nodiscard]] TraceContext childOf(const TraceContext &parent, RandomSource &random);
 
--- a/src/egretlatch/daemon/backend_client.cpp
+++ b/src/egretlatch/daemon/backend_client.cpp
@@ -22,7 +22,7 @@
 [[nodiscard]] static QNetworkRequest toQt(const std::string &baseUrl, const decision::RunRequest &run)
 {
     QNetworkRequest request{QUrl::fromEncoded(toQt(baseUrl + run.path), QUrl::TolerantMode)};
-    // An answer is passed on as it came: no redirect is followed, nothing is unpacked, no cookie is kept.
+    // Responses are forwarded unchanged: redirects are not followed, content is not decoded and cookies are not stored.
     request.setAttribute(QNetworkRequest::RedirectPolicyAttribute, QNetworkRequest::ManualRedirectPolicy);
     request.setAttribute(QNetworkRequest::CookieLoadControlAttribute, QNetworkRequest::Manual);
     request.setAttribute(QNetworkRequest::CookieSaveControlAttribute, QNetworkRequest::Manual);
@@ -63,7 +63,7 @@
 
 [[nodiscard]] static bool isConnectionError(const QNetworkReply::NetworkError error)
 {
-    // The errors by which Qt reports a status of 400 and above come with a whole answer; those of the connection do not.
+    // Qt also reports a status of 400 and above as an error, but then the response is complete. After a connection error it is not.
     return error == QNetworkReply::RemoteHostClosedError || error == QNetworkReply::ContentReSendError || error == QNetworkReply::TimeoutError
         || error == QNetworkReply::OperationCanceledError || error == QNetworkReply::UnknownNetworkError || error == QNetworkReply::ProtocolFailure
         || error == QNetworkReply::TemporaryNetworkFailureError;
--- a/src/egretlatch/daemon/backend_client.hpp
+++ b/src/egretlatch/daemon/backend_client.hpp
@@ -14,28 +14,28 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Hands runs to the backend server over HTTP. Lives on the thread for that duty. */
+/*! @brief Sends runs to the backend server over HTTP. Lives on the backend thread. */
 class BackendClient final : public QObject
 {
 public:
     using EndHandler = std::function<void(decision::RunEnded)>;
 
     /**
-     * @brief Builds a client.
+     * @brief Creates a client.
      * @param baseUrl Base URL of the backend server.
-     * @param onEnd Called once for each run that was started and not aborted.
+     * @param onEnd Called once for each run that was started and not aborted, when it has ended or failed.
      */
     BackendClient(std::string baseUrl, EndHandler onEnd);
 
     /**
      * @brief Starts a run.
-     * @param run The run.
+     * @param run Request to send, and the id of its execution.
      */
     void start(const decision::StartRun &run);
 
     /**
-     * @brief Closes the connection of a run; no end is reported for it.
-     * @param execution The run.
+     * @brief Closes the connection of a run. The end handler is not called for it.
+     * @param execution Id of the run; ignored if no such run is in flight.
      */
     void abort(ExecutionId execution);
 
--- a/src/egretlatch/daemon/caller_server.cpp
+++ b/src/egretlatch/daemon/caller_server.cpp
@@ -48,7 +48,7 @@
     }
 }
 
-/*! @brief The parts of `/call/{service}/{kind}/{path...}`. */
+/*! @brief Components of `/call/{service}/{kind}/{path...}`. */
 struct CallPath
 {
     std::string service;
@@ -117,7 +117,7 @@
         }
         call.timeout = std::chrono::milliseconds{milliseconds};
     }
-    // W3C Trace Context: a malformed header is treated as if there were none.
+    // W3C Trace Context requires that a malformed header is ignored.
     call.trace = account::parseTraceParent(request.value(traceHeader).toStdString());
     return call;
 }
@@ -174,7 +174,7 @@
     if (!server->listen(QHostAddress{QString::fromStdString(address)}, port)) {
         return tl::unexpected{Error{ErrorCode::unavailable, fmt::format("cannot listen on {}:{}", address, port)}};
     }
-    // The HTTP server owns what it is bound to.
+    // bind() passes ownership of the TCP server to the HTTP server.
     bind(server.release());
     return {};
 }
@@ -379,7 +379,7 @@
     const ExchangeId exchange = found->second;
     m_exchangeBySocket.erase(found);
     m_exchanges.erase(exchange);
-    // A full ring loses only the cancel: the call then ends at its deadline.
+    // If the ring is full, only the cancellation is lost; the call then ends at its deadline.
     static_cast<void>(m_onEvent(decision::CallerGone{.exchange = exchange}));
 }
 
--- a/src/egretlatch/daemon/caller_server.hpp
+++ b/src/egretlatch/daemon/caller_server.hpp
@@ -21,63 +21,63 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Takes HTTP from callers, the backend server and operators. Lives on the thread for that duty. */
+/*! @brief Serves HTTP requests of callers, the backend server and operators. Lives on the caller thread. */
 class CallerServer final : public QAbstractHttpServer
 {
 public:
-    /*! @brief Hands an event to the deciding thread; false if its ring is full. */
+    /*! @brief Passes an event to the decide thread; returns false if the ring is full. */
     using EventHandler = std::function<bool(decision::Event)>;
-    /*! @brief Gives the text of a page that only reports. */
+    /*! @brief Returns the content of a read-only page. */
     using PageHandler = std::function<std::string()>;
-    /*! @brief Gives the text of a page by its name. */
+    /*! @brief Returns the content of a page by its name, or nothing if there is no such page. */
     using PageLookup = std::function<std::optional<std::string>(const std::string &)>;
 
     /**
-     * @brief Builds a server that does not listen yet.
-     * @param maxBodyBytes Larger bodies are refused.
-     * @param onEvent Takes what came in.
-     * @param metrics Takes counts of what was no request; must outlive the server.
+     * @brief Creates a server that does not listen yet.
+     * @param maxBodyBytes Size limit of a request body; calls with a larger one are answered with 413.
+     * @param onEvent Receives the events that requests cause.
+     * @param metrics Receives the counts of connections that ended without a complete request; must outlive the server.
      */
     CallerServer(std::int64_t maxBodyBytes, EventHandler onEvent, account::MetricsSink &metrics);
 
     /**
-     * @brief Adds a page.
+     * @brief Adds a read-only page.
      * @param path Path of the page.
-     * @param contentType Its media type.
-     * @param report Called for each read, on this server's thread.
+     * @param contentType Media type of its content.
+     * @param handler Called for each read, on this server's thread.
      */
     void addPage(const QString &path, const QByteArray &contentType, PageHandler handler);
 
     /**
-     * @brief Adds pages below a path, such as one for each refusal; they are JSON.
-     * @param prefix Path up to the name of a page.
-     * @param lookup Called for each read with the rest of the path, on this server's thread; nothing for no such page.
+     * @brief Adds JSON pages below a path, such as one for each refusal. A later call replaces the lookup.
+     * @param prefix Path up to the name of the page.
+     * @param lookup Called for each read with the rest of the path, on this server's thread.
      */
     void addPageLookup(const QString &prefix, PageLookup lookup);
 
     /**
-     * @brief Lets the pages added by addPage() and addPageLookup() be read only with a token; until then they are open.
-     * @param token The token; empty closes the pages to everyone.
+     * @brief Requires a token to read the pages added by addPage() and addPageLookup(). Without this call they are open.
+     * @param token Bearer token; if empty, all reads are rejected.
      */
     void requireToken(Secret token);
 
     /**
-     * @brief Starts to listen.
-     * @param address IP number.
-     * @param port Port.
-     * @return Nothing, or `unavailable` if the address cannot be had.
+     * @brief Starts listening.
+     * @param address IP address.
+     * @param port TCP port.
+     * @return Nothing, or `unavailable` if the address cannot be bound.
      */
     [[nodiscard]] Result<void> start(const std::string &address, std::uint16_t port);
 
     /**
-     * @brief Answers an exchange; does nothing if its caller has gone.
-     * @param answer The answer.
+     * @brief Answers an exchange. Does nothing if the caller has closed its connection.
+     * @param answer Answer and the exchange it belongs to.
      */
     void answer(const decision::AnswerCaller &answer);
 
     /**
-     * @brief Sets whether the daemon takes calls, for `/readyz`.
-     * @param isReady True once a configuration is in force and until it drains.
+     * @brief Sets whether `/readyz` reports that the daemon accepts calls.
+     * @param isReady True from the first configuration in force until the daemon drains.
      */
     void setReady(bool isReady);
 
--- a/src/egretlatch/daemon/condition_waker.hpp
+++ b/src/egretlatch/daemon/condition_waker.hpp
@@ -10,7 +10,7 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Wakes a thread that has nothing to wait for but its rings and a time. */
+/*! @brief Wakes a thread that waits only for its rings and a point in time. */
 class ConditionWaker final : public Waker
 {
 public:
@@ -24,8 +24,8 @@
     }
 
     /**
-     * @brief Waits for a wake since the last wait.
-     * @param until Time at which it returns in any case.
+     * @brief Waits until wake() is called. Returns at once if it was called since the last wait.
+     * @param until Time at which the wait ends even without a wake.
      */
     void waitUntil(const SteadyTime until)
     {
--- a/src/egretlatch/daemon/core_options.cpp
+++ b/src/egretlatch/daemon/core_options.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t baselineQueueCapacity = 1000;
 
-// A baseline starts with one slot and gets the announced number with the backend server's first announcement.
+// Baseline gates start with one slot; the backend server's first announcement sets the real number.
 [[nodiscard]] static std::unique_ptr<admission::Gate> makeBaselineGate(const settings::Policy policy)
 {
     if (policy == settings::Policy::none) {
--- a/src/egretlatch/daemon/core_options.hpp
+++ b/src/egretlatch/daemon/core_options.hpp
@@ -10,26 +10,26 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief How the adaptive policy decides; the baselines have none of it. */
+/*! @brief Options of the adaptive policy; the baseline policies ignore them. */
 struct AdaptiveOptions
 {
     admission::GateRules gate;
-    /*! @brief Where the entry knows costs from. */
+    /*! @brief Source of the service costs that the entry daemon uses. */
     admission::CostSource costSource{admission::CostSource::declared};
-    /*! @brief Whether roots are refused at their entry by the levels down their chain. */
+    /*! @brief Enables refusing roots at the entry daemon by the admission levels of their downstream services. */
     bool refusesAtEntry{true};
-    /*! @brief Whether servers are chosen by what they have shown of themselves. */
+    /*! @brief Selects servers by their observed behaviour instead of by their load alone. */
     bool usesAdaptiveRouter{true};
 
     friend bool operator==(const AdaptiveOptions &, const AdaptiveOptions &) = default;
 };
 
 /**
- * @brief Gives a core the gate, entry control and router of a policy.
- * @param policy The policy of the settings.
+ * @brief Sets the gate, entry control and router of a policy on a core builder.
+ * @param policy Policy from the settings.
  * @param random Source of random numbers; must outlive the core.
- * @param builder The builder to set them on.
- * @param options How the adaptive policy decides.
+ * @param builder Builder of the core.
+ * @param options Options of the adaptive policy.
  */
 void applyPolicy(settings::Policy policy, RandomSource &random, decision::CoreBuilder &builder, const AdaptiveOptions &options = {});
 
--- a/src/egretlatch/daemon/daemon.cpp
+++ b/src/egretlatch/daemon/daemon.cpp
@@ -13,7 +13,7 @@
 namespace internal
 {
 
-// Runs a step on a thread with an event loop and waits for it.
+// Runs a step on the thread of an object, which needs an event loop, and waits for its end.
 template<typename Step>
 static void runOn(QObject &object, Step step)
 {
@@ -75,7 +75,7 @@
     if (!thread.isRunning()) {
         return;
     }
-    // What lives on a thread is destroyed there.
+    // QObjects must be destroyed on the thread they live on.
     internal::runOn(contextObject, destroy);
     thread.quit();
     thread.wait();
@@ -128,18 +128,18 @@
         return listening;
     }
     if (m_manifest != nullptr) {
-        // With a platform, the manifest of the settings only bridges the time until an accepted one is found.
+        // With a platform, the manifest of the settings is used only until an accepted one is fetched, so it gets version 0.
         const std::uint64_t version = m_settings.platformUrl.empty() ? 1 : 0;
-        // Pushed on the thread that writes this ring: it has room for one writer.
+        // A ring has a single producer, so the push must happen on the platform thread.
         internal::runOn(m_platformWaker, [this, version] {
             static_cast<void>(m_eventRings.fromPlatform.tryPush(decision::ManifestChanged{.version = version, .manifest = m_manifest}));
         });
     }
     if (m_settings.isOpenToOperators) {
-        m_logger.warning("operators' reads need no token: operatorAccess is open");
+        m_logger.warning("operator pages need no token: operatorAccess is open");
     }
     if (m_settings.ownsUnnamedKeys) {
-        m_logger.warning("keys without an owner are remembered by this entry alone: a resend to another entry, or after a restart, may run twice");
+        m_logger.warning("request keys without an owner are tracked by this daemon only: a resend to another daemon, or after a restart, may run twice");
     }
     m_logger.info("started", {{"callers", m_settings.callerPort}, {"peers", m_settings.peerPort}, {"backend", m_settings.backendUrl}});
     return {};
@@ -225,7 +225,7 @@
         if (const auto *const size = std::get_if<FleetSizeChanged>(action.get())) {
             m_platformClient->setFleetSize(size->daemons);
             QMetaObject::invokeMethod(&m_accountWaker, [this, daemons = size->daemons] {
-                // The account thread ends before this one; what is still queued for it then finds nothing to tell.
+                // The account thread stops before the platform thread, so the recorder may already be destroyed.
                 if (m_refusalRecorder != nullptr) {
                     m_refusalRecorder->setFleetSize(daemons);
                 }
--- a/src/egretlatch/daemon/daemon.hpp
+++ b/src/egretlatch/daemon/daemon.hpp
@@ -24,42 +24,42 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Tokens that a daemon asks for and offers, read from the files that its settings name. */
+/*! @brief Access tokens of a daemon, read from the files that its settings name. */
 struct Tokens
 {
-    /*! @brief Operators' reads need it; empty refuses them all, unless the settings open them. */
+    /*! @brief Token required from operators; if empty, their reads are rejected unless the settings allow open access. */
     Secret operators;
-    /*! @brief The platform needs it; empty for none. */
+    /*! @brief Token sent to the platform; empty for none. */
     Secret platform;
 };
 
-/*! @brief The threads of one daemon, joined by rings. */
+/*! @brief Owns the threads of one daemon and the rings between them. */
 class Daemon
 {
 public:
     /**
-     * @brief Builds a daemon that has not started.
-     * @param settings Checked settings.
-     * @param tokens Tokens that it asks for and offers.
-     * @param manifest Configuration to start with; null to start without.
+     * @brief Creates a daemon without starting it.
+     * @param settings Validated settings.
+     * @param tokens Access tokens.
+     * @param manifest Initial configuration; null to start without one.
      */
     Daemon(settings::DaemonSettings settings, Tokens tokens, std::shared_ptr<const manifest::Manifest> manifest);
     Daemon(const Daemon &) = delete;
     Daemon &operator=(const Daemon &) = delete;
 
-    /*! @brief Stops all threads; what is in flight then is cut off, so drain first. */
+    /*! @brief Stops all threads and aborts requests in flight; call drain() first to let them complete. */
     ~Daemon();
 
     /**
-     * @brief Takes the ports and starts all threads.
-     * @return Nothing, or `unavailable` if a port cannot be had.
+     * @brief Binds the ports and starts all threads.
+     * @return Nothing, or `unavailable` if a port cannot be bound.
      */
     [[nodiscard]] Result<void> start();
 
     /**
-     * @brief Refuses new work; once nothing is in flight, ends the application's event loop.
+     * @brief Refuses new requests and quits the application's event loop once nothing is in flight.
      *
-     * Called on the application's thread, more than once if need be.
+     * Must be called on the application's thread; may be called more than once.
      */
     void drain();
 
--- a/src/egretlatch/daemon/decide_thread.cpp
+++ b/src/egretlatch/daemon/decide_thread.cpp
@@ -10,7 +10,7 @@
 namespace internal
 {
 
-// Events taken from one ring before the others and the clock get their turn.
+// Maximum number of events handled from one ring before the other rings and the timers are checked.
 constexpr int batchSize = 64;
 constexpr std::chrono::milliseconds gaugeInterval{200};
 constexpr std::chrono::milliseconds statusTimeout{100};
@@ -54,7 +54,7 @@
 
 std::string DecideThread::status()
 {
-    // At 750 members the document takes milliseconds to write, so it is written when someone asks and not ahead.
+    // With 750 members, writing the document takes milliseconds, so it is written on request only.
     std::unique_lock lock{m_statusMutex};
     m_isStatusRequested.store(true);
     m_waker.wake();
@@ -78,7 +78,7 @@
             writeStatus();
         }
         if (hadEvents) {
-            // An idle core ticks seldom; the events may have brought a deadline that is nearer than its next tick.
+            // An idle core ticks rarely; these events may have added a deadline that is earlier than the next tick.
             nextTick = std::min(nextTick, m_core->nextTick());
         } else {
             m_waker.waitUntil(nextTick);
@@ -88,7 +88,7 @@
 
 bool DecideThread::drainRings()
 {
-    // Ends before beginnings: a freed slot is known before the next call asks for one.
+    // The ends of runs are handled before new calls, so that slots are released before the next call needs one.
     bool hadEvents = drainRing(m_eventRings.fromBackend);
     hadEvents = drainRing(m_eventRings.fromPeer) || hadEvents;
     hadEvents = drainRing(m_eventRings.fromCallers) || hadEvents;
@@ -141,15 +141,15 @@
         const store::RequestId id = ask->id;
         isQueued = m_actionRings.toPlatform.tryPush(std::move(*ask));
         if (!isQueued) {
-            handle(decision::PlatformAnswered{.id = id, .outcome = tl::unexpected{Error{ErrorCode::unavailable, "the ring to the platform is full"}}});
+            handle(decision::PlatformAnswered{.id = id, .outcome = tl::unexpected{Error{ErrorCode::unavailable, "the ring to the platform thread is full"}}});
         }
     } else if (const auto *const inForce = std::get_if<decision::ManifestInForce>(&action)) {
-        m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"bringer", inForce->bringer.value}});
+        m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"sourceDaemon", inForce->bringer.value}});
         isQueued = m_actionRings.toCallers.tryPush(ReadyChanged{.isReady = true});
     } else if (const auto *const changed = std::get_if<decision::MemberChanged>(&action)) {
         m_logger.debug("member changed", {{"member", changed->id.value}, {"state", membership::toString(changed->state)}});
-    } else if (const auto *const heard = std::get_if<decision::DepartureHeard>(&action)) {
-        m_logger.info("departure heard", {{"instance", heard->instance}});
+    } else if (const auto *const departure = std::get_if<decision::DepartureHeard>(&action)) {
+        m_logger.info("departure reported", {{"instance", departure->instance}});
     } else if (std::holds_alternative<decision::Drained>(action)) {
         m_onDrained();
     }
--- a/src/egretlatch/daemon/decide_thread.hpp
+++ b/src/egretlatch/daemon/decide_thread.hpp
@@ -19,22 +19,22 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Runs the decision core: reads the eventRings rings, writes the actionRings ones. */
+/*! @brief Runs the decision core: reads events from the event rings and writes actions to the action rings. */
 class DecideThread
 {
 public:
     using DrainedHandler = std::function<void()>;
 
     /**
-     * @brief Builds the thread without starting it.
-     * @param core The decision core; touched by this thread only, once it runs.
-     * @param eventRings Rings that it reads; must outlive it.
-     * @param actionRings Rings that it writes; must outlive it.
-     * @param waker The waker of the eventRings rings; must outlive it.
-     * @param metrics Takes counts of dropped orders; must outlive it.
-     * @param logger Takes what people should know; must outlive it.
-     * @param droppedRefusals Counts refusals that the account thread had no room for; must outlive it.
-     * @param onDrained Called once nothing is in flight after a drain.
+     * @brief Creates the thread without starting it.
+     * @param core Decision core; used by this thread only once it runs.
+     * @param eventRings Rings to read from; must outlive this object.
+     * @param actionRings Rings to write to; must outlive this object.
+     * @param waker Waker of the event rings; must outlive this object.
+     * @param metrics Receives gauges and the count of dropped actions; must outlive this object.
+     * @param logger Receives log lines; must outlive this object.
+     * @param droppedRefusals Counts refusals dropped because the ring to the account thread was full; must outlive this object.
+     * @param onDrained Called on this thread when nothing is in flight after a drain.
      */
     DecideThread(std::unique_ptr<decision::Core> core,
                  EventRings &eventRings,
@@ -54,8 +54,8 @@
     void start();
 
     /**
-     * @brief Describes what this daemon knows, for `/status`; may be called from any thread.
-     * @return A JSON document; an earlier one if the deciding thread is too busy to write it.
+     * @brief Returns the status of this daemon for `/status`. May be called from any thread.
+     * @return A JSON document; the last one written if this thread does not write a new one within 100 ms.
      */
     [[nodiscard]] std::string status();
 
--- a/src/egretlatch/daemon/descriptor_waker.cpp
+++ b/src/egretlatch/daemon/descriptor_waker.cpp
@@ -21,7 +21,7 @@
 void DescriptorWaker::wake()
 {
     const std::uint64_t one = 1;
-    // The write fails only once the counter is full, and then the reader is awake anyway.
+    // The write fails only if the counter is at its maximum, and then the descriptor is readable anyway.
     static_cast<void>(::write(m_descriptor, &one, sizeof one));
 }
 
--- a/src/egretlatch/daemon/descriptor_waker.hpp
+++ b/src/egretlatch/daemon/descriptor_waker.hpp
@@ -6,7 +6,7 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Wakes a thread that polls sockets, by a file descriptor that it polls too. */
+/*! @brief Wakes a thread that polls sockets, through an eventfd that it polls as well. */
 class DescriptorWaker final : public Waker
 {
 public:
@@ -17,7 +17,7 @@
 
     void wake() override;
 
-    /*! @brief Forgets the wakes so far; called by the polling thread. */
+    /*! @brief Clears the wakes so far; must be called by the polling thread. */
     void reset();
 
     [[nodiscard]] int descriptor() const noexcept
--- a/src/egretlatch/daemon/event_loop_waker.hpp
+++ b/src/egretlatch/daemon/event_loop_waker.hpp
@@ -11,13 +11,13 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Wakes a thread that runs a Qt event loop; several wakes before it runs count as one. */
+/*! @brief Wakes a thread that runs a Qt event loop. Wakes that are pending at the same time are merged into one. */
 class EventLoopWaker final : public QObject, public Waker
 {
 public:
     /**
-     * @brief Builds a waker; it must then be moved to the thread it wakes.
-     * @param drain Called on that thread after a wake; reads the rings until they are empty.
+     * @brief Creates a waker. It must then be moved to the thread it wakes.
+     * @param drain Called on that thread after a wake; must read the rings until they are empty.
      */
     explicit EventLoopWaker(std::function<void()> drain)
         : m_drain{std::move(drain)}
--- a/src/egretlatch/daemon/guarded_tcp_server.cpp
+++ b/src/egretlatch/daemon/guarded_tcp_server.cpp
@@ -49,7 +49,7 @@
     }
     socket->setSocketOption(QAbstractSocket::LowDelayOption, 1);
     resetReceivedBytes(socket);
-    // Connected before the HTTP server connects its own reader, so it sees the bytes before they are taken.
+    // Connected before the HTTP server connects its own slot, so the bytes are counted before the HTTP server reads them.
     connect(socket, &QTcpSocket::readyRead, this, [this, socket] {
         countReceivedBytes(socket);
     });
--- a/src/egretlatch/daemon/guarded_tcp_server.hpp
+++ b/src/egretlatch/daemon/guarded_tcp_server.hpp
@@ -12,28 +12,28 @@
 {
 
 /**
- * @brief Accepts connections for an HTTP server and cuts off those that send too much.
+ * @brief Accepts connections for an HTTP server and closes those that send an oversized request.
  *
- * The HTTP server beneath keeps a request in memory until it is whole, however large it says it is. One caller could
- * fill the VM's memory before the request is ever looked at. This server counts what a connection sends, and ends it
- * with 413 once more has come than a request may have; the count starts anew with each request that was taken.
+ * QAbstractHttpServer buffers a request in memory until it is complete, whatever its size, so that one caller could
+ * exhaust the VM's memory before any handler runs. This server counts the bytes received on each connection and closes
+ * it with 413 when they exceed the limit of a request. The count is reset for each request that is handled.
  */
 class GuardedTcpServer final : public QTcpServer
 {
 public:
-    /*! @brief Told of a connection that ended with bytes that never became a request: `too-large` or `incomplete`. */
+    /*! @brief Receives the reason why a connection ended with an unhandled request: `too-large` or `incomplete`. */
     using DropHandler = std::function<void(std::string_view reason)>;
 
     /**
-     * @brief Builds a server that does not listen yet.
-     * @param maxRequestBytes Bytes that a request may have, headers included.
-     * @param onDrop Called once for each connection that ends so.
+     * @brief Creates a server that does not listen yet.
+     * @param maxRequestBytes Size limit of a request in bytes, headers included.
+     * @param onDrop Called once for each connection that ends with an unhandled request.
      */
     GuardedTcpServer(std::int64_t maxRequestBytes, DropHandler onDrop);
 
     /**
-     * @brief Starts the count anew.
-     * @param socket A connection whose request has been taken whole.
+     * @brief Resets the byte count of a connection.
+     * @param socket Connection whose request was received completely.
      */
     static void resetReceivedBytes(QTcpSocket *socket);
 
--- a/src/egretlatch/daemon/http_client_pool.hpp
+++ b/src/egretlatch/daemon/http_client_pool.hpp
@@ -12,18 +12,19 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Whether Qt may send a request again by itself when a connection breaks under it. */
+/*! @brief Selects if Qt may resend a request on its own when the connection is lost. */
 enum class Resend {
     allowed,
-    /*! @brief The reply then ends with an error, and the request has been sent once at most. */
+    /*! @brief The reply ends with an error instead, and the request is sent at most once. */
     never,
 };
 
 /**
- * @brief Sends HTTP requests to one host over as many connections as are needed.
+ * @brief Sends HTTP requests to one host over as many connections as needed.
  *
- * One QNetworkAccessManager opens at most six connections to a host and queues the rest out of sight, so the pool holds
- * several and gives none of them a seventh request. Lives on one thread with an event loop.
+ * A QNetworkAccessManager opens at most six connections to a host and queues further requests internally. The pool
+ * therefore creates several managers and gives each at most six requests at a time. Must be used on one thread with an
+ * event loop.
  */
 class HttpClientPool
 {
@@ -33,7 +34,7 @@
      * @param method HTTP method.
      * @param request URL and headers.
      * @param body Body; may be empty.
-     * @param resend Whether it may reach the host twice; `never` is required for what is not idempotent.
+     * @param resend Policy for a lost connection; must be `never` for requests that are not idempotent.
      * @return The reply; the caller deletes it with deleteLater() once it has finished.
      */
     [[nodiscard]] QNetworkReply *send(const QByteArray &method, const QNetworkRequest &request, const QByteArray &body, Resend resend = Resend::allowed);
--- a/src/egretlatch/daemon/http_headers.hpp
+++ b/src/egretlatch/daemon/http_headers.hpp
@@ -6,25 +6,25 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Names a request across resends (draft-ietf-httpapi-idempotency-key-header). */
+/*! @brief Identifies a request across resends (draft-ietf-httpapi-idempotency-key-header). */
 constexpr char keyHeader[] = "Idempotency-Key";
-/*! @brief With a refusal as not run: the key to resend with, since the old one is closed. */
+/*! @brief Key to resend a request with after a `not-run` refusal, since the refusal closes the old key. */
 constexpr char nextKeyHeader[] = "Egretlatch-Next-Key";
-/*! @brief Time that the sender waits for an answer, in milliseconds. */
+/*! @brief Time for which the sender waits for an answer, in milliseconds. */
 constexpr char timeoutHeader[] = "Request-Timeout-Ms";
-/*! @brief The run that an inner call belongs to. */
+/*! @brief Token of the run that an inner call belongs to. */
 constexpr char callHeader[] = "Egretlatch-Call";
-/*! @brief Request kind, for the backend server. */
+/*! @brief Kind of the request, sent to the backend server. */
 constexpr char kindHeader[] = "Egretlatch-Kind";
-/*! @brief Whether the request has run. */
+/*! @brief Verdict: `completed`, `not-run` or `may-have-run`. */
 constexpr char verdictHeader[] = "Egretlatch-Verdict";
-/*! @brief Place in the trace (W3C Trace Context). */
+/*! @brief Trace context of the request (W3C Trace Context). */
 constexpr char traceHeader[] = "traceparent";
 
 /**
- * @brief Tells whether a header field is passed on.
- * @param name Name of the field, in any case.
- * @return False for the fields that belong to one connection (RFC 9110, 7.6.1) and those that each hop sets anew.
+ * @brief Checks if a header field is forwarded.
+ * @param name Name of the field, case-insensitive.
+ * @return False for hop-by-hop fields (RFC 9110, 7.6.1) and fields that each hop sets itself.
  */
 [[nodiscard]] bool isEndToEnd(const QByteArray &name);
 
--- a/src/egretlatch/daemon/peer_thread.cpp
+++ b/src/egretlatch/daemon/peer_thread.cpp
@@ -69,7 +69,7 @@
 
 void PeerThread::push(decision::Event event)
 {
-    // What is lost here is harmless: a call whose end is not told ends at its deadline with `may-have-run`.
+    // Losing an event is safe: a call whose end is not reported ends at its deadline with `may-have-run`.
     if (!m_receivedEvents.tryPush(std::move(event))) {
         m_metrics.count("messages_dropped", "ring-full");
     }
--- a/src/egretlatch/daemon/peer_thread.hpp
+++ b/src/egretlatch/daemon/peer_thread.hpp
@@ -13,17 +13,17 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Runs the exchange with other daemons on a thread of its own, between two rings. */
+/*! @brief Runs the message exchange with other daemons on its own thread, connected by two rings. */
 class PeerThread
 {
 public:
     /**
-     * @brief Builds the thread without starting it.
-     * @param self This daemon.
-     * @param incarnation Its life.
-     * @param keys Keys of the daemons; nothing to speak without encryption and to let anyone in.
-     * @param receivedEvents Ring for what comes in; must outlive the thread.
-     * @param metrics Takes counts of dropped messages; must outlive the thread.
+     * @brief Creates the thread without starting it.
+     * @param self Id of this daemon.
+     * @param incarnation Its incarnation.
+     * @param keys Encryption keys; without them, messages are not encrypted and every peer is accepted.
+     * @param receivedEvents Ring for received messages and link events; must outlive the thread.
+     * @param metrics Receives the counts of dropped messages; must outlive the thread.
      */
     PeerThread(
         DaemonId self, Incarnation incarnation, std::optional<settings::PeerKeys> keys, Ring<decision::Event> &receivedEvents, account::MetricsSink &metrics);
@@ -35,18 +35,18 @@
 
     /**
      * @brief Binds the socket and starts the thread.
-     * @param endpoint Address as `tcp://ADDRESS:PORT`.
-     * @param messagesToSend Ring of what is to be sent; must outlive the thread.
-     * @return Nothing, or `unavailable` if the address cannot be had.
+     * @param endpoint Address to bind, as `tcp://ADDRESS:PORT`.
+     * @param messagesToSend Ring of messages to send; must outlive the thread.
+     * @return Nothing, or `unavailable` if the address cannot be bound.
      */
     [[nodiscard]] Result<void> start(const std::string &endpoint, Ring<decision::SendToPeer> &messagesToSend);
 
-    /*! @brief Stops the thread and waits for it; to be called before the messagesToSend ring ends. */
+    /*! @brief Stops the thread and waits for it; must be called before the ring of messages to send is destroyed. */
     void stop();
 
     /**
-     * @brief Gives the waker for the messagesToSend ring.
-     * @return The waker, valid as long as this object.
+     * @brief Returns the waker for the ring of messages to send.
+     * @return Waker, valid as long as this object.
      */
     [[nodiscard]] Waker &waker() noexcept
     {
--- a/src/egretlatch/daemon/platform_client.cpp
+++ b/src/egretlatch/daemon/platform_client.cpp
@@ -10,7 +10,7 @@
 namespace internal
 {
 
-// Below what the platform carries, so that the operators' tools and a fleet that miscounts itself still find room.
+// Below the rate that the platform sustains, to leave capacity for operator tools and for errors in the estimated fleet size.
 constexpr double fleetReadsPerSecond = 1500.0;
 constexpr double fleetWritesPerSecond = 200.0;
 constexpr double burst = 16.0;
@@ -30,7 +30,7 @@
 
 [[nodiscard]] static bool hasCompleteAnswer(const QNetworkReply &reply, const int status)
 {
-    // Qt reports a status of 400 and above as an error of the content, the server or the protocol, and gives the body.
+    // Qt reports a status of 400 and above as a content, server or protocol error, with a complete body.
     constexpr int firstError = 400;
     return status != 0 && (reply.error() == QNetworkReply::NoError || (status >= firstError && reply.error() >= QNetworkReply::ContentAccessDenied));
 }
@@ -42,7 +42,7 @@
         return store::decodeOutcome(request, status, reply.readAll());
     }
     if (reply.error() == QNetworkReply::ConnectionRefusedError) {
-        // No connection was ever open, so no byte of the request has left.
+        // No connection was established, so no part of the request was sent.
         return tl::unexpected{Error{ErrorCode::unavailable, "the platform cannot be reached"}};
     }
     return tl::unexpected{Error{ErrorCode::timedOut, "the platform did not answer"}};
@@ -66,16 +66,16 @@
 void PlatformClient::ask(const store::Request &request, OutcomeHandler onOutcome)
 {
     if (m_access.url.empty()) {
-        onOutcome(tl::unexpected{Error{ErrorCode::unavailable, "the settings name no platform"}});
+        onOutcome(tl::unexpected{Error{ErrorCode::unavailable, "no platform is configured"}});
         return;
     }
     store::RateCap &cap = store::isWrite(request) ? m_writes : m_reads;
     if (!cap.tryTake(std::chrono::steady_clock::now())) {
-        onOutcome(tl::unexpected{Error{ErrorCode::rateLimited, "this daemon's share of the platform is used up"}});
+        onOutcome(tl::unexpected{Error{ErrorCode::rateLimited, "the local share of the platform's request rate is used up"}});
         return;
     }
     const store::HttpRequest http = store::encodeRequest(request);
-    // A read may reach the platform twice; a write that Qt sends again would find its own first effect as a conflict.
+    // A read may be repeated; a write that Qt resends could fail with a conflict caused by its own first attempt.
     const Resend resend = store::isWrite(request) ? Resend::never : Resend::allowed;
     QNetworkReply *const reply = m_pool.send(http.method, internal::toQt(m_access, http), http.body, resend);
     connect(reply, &QNetworkReply::finished, this, [request, reply, handler = std::move(onOutcome)] {
--- a/src/egretlatch/daemon/platform_client.hpp
+++ b/src/egretlatch/daemon/platform_client.hpp
@@ -14,41 +14,41 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Where the platform is and what a client of it may spend. */
+/*! @brief Address of the platform, with the token and timeout of its clients. */
 struct PlatformAccess
 {
     /*! @brief Base URL; empty for no platform. */
     std::string url;
-    /*! @brief Sent with each request; empty for none. */
+    /*! @brief Token sent with each request; empty for none. */
     Secret token;
-    /*! @brief Time after which a request has no answer. */
+    /*! @brief Time after which a request fails with `timedOut`. */
     std::chrono::milliseconds timeout{2000};
 };
 
-/*! @brief Asks the table and the object store over HTTP. Lives on one thread with an event loop. */
+/*! @brief Accesses the platform's table and object store over HTTP. Must be used on one thread with an event loop. */
 class PlatformClient final : public QObject
 {
 public:
     using OutcomeHandler = std::function<void(store::Outcome)>;
 
     /**
-     * @brief Builds a client.
-     * @param access Where the platform is.
+     * @brief Creates a client.
+     * @param access Address, token and timeout.
      */
     explicit PlatformClient(PlatformAccess access);
 
     /**
-     * @brief Sets how many daemons share the platform's rate.
-     * @param daemons Their number.
+     * @brief Sets the number of daemons that share the platform's request rate.
+     * @param daemons Number of daemons.
      */
     void setFleetSize(int daemons);
 
     /**
-     * @brief Asks; the answer comes through the handler exactly once, perhaps before this returns.
+     * @brief Sends a request. The handler is called exactly once, possibly before this function returns.
      *
-     * A write is sent at most once. `unavailable` and `rateLimited` prove that nothing was done; `timedOut` proves nothing.
-     * @param request What is asked.
-     * @param onOutcome Takes the outcome, on this thread.
+     * A write is sent at most once. `unavailable` and `rateLimited` guarantee that it had no effect; after `timedOut` the effect is unknown.
+     * @param request Request to send.
+     * @param onOutcome Receives the outcome, on this thread.
      */
     void ask(const store::Request &request, OutcomeHandler onOutcome);
 
--- a/src/egretlatch/daemon/problem_document.hpp
+++ b/src/egretlatch/daemon/problem_document.hpp
@@ -10,15 +10,15 @@
 {
 
 /**
- * @brief Gives the headers of an answer that the system makes itself.
- * @param answer A refusal, or an answer to a request that was wrong.
- * @return `Content-Type`, `Egretlatch-Verdict` and, where it helps to come back, `Retry-After`.
+ * @brief Returns the headers of an answer that the daemon generates itself.
+ * @param answer Refusal, or answer to an invalid request.
+ * @return `Content-Type`, `Egretlatch-Verdict` and, where they apply, `Egretlatch-Next-Key` and `Retry-After`.
  */
 [[nodiscard]] Headers problemHeaders(const decision::CallerAnswer &answer);
 
 /**
- * @brief Gives the body of an answer that the system makes itself.
- * @param answer A refusal, or an answer to a request that was wrong.
+ * @brief Returns the body of an answer that the daemon generates itself.
+ * @param answer Refusal, or answer to an invalid request.
  * @return A problem document (RFC 9457) as JSON.
  */
 [[nodiscard]] QByteArray problemBody(const decision::CallerAnswer &answer);
--- a/src/egretlatch/daemon/refusal_recorder.cpp
+++ b/src/egretlatch/daemon/refusal_recorder.cpp
@@ -12,7 +12,7 @@
 constexpr std::chrono::milliseconds tickInterval{500};
 constexpr std::chrono::milliseconds closingTickInterval{20};
 constexpr std::chrono::seconds storeInterval{30};
-// While more than one batch waits, as after an outage.
+// Used while further batches are pending, as after an outage of the store.
 constexpr std::chrono::seconds catchUpInterval{2};
 constexpr std::chrono::seconds initialRetryDelay{1};
 constexpr std::chrono::seconds maxRetryDelay{60};
@@ -30,7 +30,7 @@
     , m_random{incarnation.value}
     , m_backoff{internal::initialRetryDelay, internal::maxRetryDelay}
 {
-    // A first interval of random length, so that daemons that started together do not store together.
+    // The first interval has a random length, so that daemons that started together do not store at the same time.
     const auto interval = static_cast<std::uint64_t>(std::chrono::nanoseconds{internal::storeInterval}.count());
     m_nextStore = std::chrono::steady_clock::now() + Duration{static_cast<Duration::rep>(m_random.below(interval))};
     connect(&m_timer, &QTimer::timeout, this, &RefusalRecorder::tick);
@@ -117,7 +117,7 @@
     m_isStoring = false;
     const SteadyTime now = std::chrono::steady_clock::now();
     if (!outcome.has_value()) {
-        // The same batch again under the same name: whether the first put took effect does not matter.
+        // The retry puts the same batch under the same name, so it does not matter if the failed put took effect.
         m_metrics.count("account_batches", "failed");
         m_nextStore = now + m_backoff.next(m_random);
         return;
--- a/src/egretlatch/daemon/refusal_recorder.hpp
+++ b/src/egretlatch/daemon/refusal_recorder.hpp
@@ -17,40 +17,40 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Stores the account of refusals at a bounded rate. Lives on the account thread; find() may be called from any. */
+/*! @brief Stores the account of refusals at a bounded rate. Lives on the account thread; find() may be called from any thread. */
 class RefusalRecorder final : public QObject
 {
 public:
     /**
-     * @brief Builds a recorder.
-     * @param access Where the platform is; without one, refusals can only be looked up here.
-     * @param daemon Whose account it is.
-     * @param incarnation Which life of the daemon.
-     * @param tally Refusals lost on the way here; must outlive the recorder.
-     * @param metrics Takes its counts; must outlive the recorder.
+     * @brief Creates a recorder.
+     * @param access Access to the platform; without a URL, refusals are not stored and can only be looked up with find().
+     * @param daemon Id of this daemon.
+     * @param incarnation Incarnation of the daemon.
+     * @param droppedRefusals Counts refusals that were dropped before they reached the recorder; must outlive it.
+     * @param metrics Receives the counts of stored and failed batches; must outlive the recorder.
      */
     RefusalRecorder(
         const PlatformAccess &access, DaemonId daemon, Incarnation incarnation, account::DroppedTally &droppedRefusals, account::MetricsSink &metrics);
 
     /**
-     * @brief Enters a refusal.
-     * @param record The refusal.
+     * @brief Adds a refusal.
+     * @param record Refusal to store.
      */
     void add(account::RefusalRecord record);
 
     /**
-     * @brief Sets how many daemons share the platform's rate.
-     * @param daemons Their number.
+     * @brief Sets the number of daemons that share the platform's request rate.
+     * @param daemons Number of daemons.
      */
     void setFleetSize(int daemons);
 
-    /*! @brief Stores what is left, for a short time at most, and marks the end of the account. Runs the event loop. */
+    /*! @brief Stores the remaining refusals and marks the end of the account. Runs a nested event loop for at most 2 s. */
     void close();
 
     /**
      * @brief Looks up a recent refusal.
-     * @param id Its id.
-     * @return The record as JSON, or nothing.
+     * @param id Id of the refusal.
+     * @return Record as JSON, or nothing if the id is invalid or not among the recent refusals.
      */
     [[nodiscard]] std::optional<std::string> find(const std::string &id) const;
 
--- a/src/egretlatch/daemon/rings.hpp
+++ b/src/egretlatch/daemon/rings.hpp
@@ -10,13 +10,13 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief What the thread that serves callers is told. */
+/*! @brief Sets the readiness that the caller server reports. */
 struct ReadyChanged
 {
     bool isReady{};
 };
 
-/*! @brief How many daemons share the platform now. */
+/*! @brief Sets the number of daemons that share the platform's request rate. */
 struct FleetSizeChanged
 {
     int daemons{};
@@ -27,10 +27,10 @@
 using BackendAction = std::variant<decision::StartRun, decision::AbortRun>;
 using AccountAction = std::variant<decision::RecordRefusal, decision::RecordSpan>;
 
-/*! @brief Values that a ring holds before the reader is taken to be stuck. */
+/*! @brief Capacity of each ring; a full ring means that its reader is stuck. */
 constexpr std::size_t ringCapacity = 4096;
 
-/*! @brief The rings into the deciding thread, one for each thread that writes. */
+/*! @brief Rings into the decide thread, one per producer thread. */
 struct EventRings
 {
     Ring<decision::Event> fromCallers;
@@ -47,7 +47,7 @@
     }
 };
 
-/*! @brief The rings out of the deciding thread, one for each thread that reads. */
+/*! @brief Rings out of the decide thread, one per consumer thread. */
 struct ActionRings
 {
     Ring<CallerAction> toCallers;
--- a/src/egretlatch/daemon/single_use_body.hpp
+++ b/src/egretlatch/daemon/single_use_body.hpp
@@ -8,19 +8,19 @@
 {
 
 /**
- * @brief A request body that can be read once.
+ * @brief Request body that can be read only once.
  *
- * QNetworkAccessManager sends a request again, whatever its method, when the connection breaks before the answer: a
- * server that crashed while it ran a POST gets the POST twice. It rewinds the body first and gives up if that fails, so
- * a body that cannot be rewound keeps the request from being sent again. An empty body does so too.
+ * QNetworkAccessManager resends a request, whatever its method, when the connection is lost before the response: a
+ * server that crashed while it ran a POST would receive the POST again. It rewinds the body before the resend and fails
+ * the request if that is not possible, so a body that cannot be rewound prevents the resend, even if it is empty.
  */
 class SingleUseBody final : public QIODevice
 {
 public:
     /**
-     * @brief Builds the body, open for reading.
-     * @param body Its bytes.
-     * @param parent Owner, usually the reply.
+     * @brief Creates the body, open for reading.
+     * @param body Content of the body.
+     * @param parent Owner, usually the network reply.
      */
     explicit SingleUseBody(QByteArray body, QObject *parent = nullptr);
 
--- a/src/egretlatch/daemon/span_exporter.hpp
+++ b/src/egretlatch/daemon/span_exporter.hpp
@@ -14,21 +14,21 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Sends spans to a collector as OTLP/JSON over HTTP. Lives on the thread for the account. */
+/*! @brief Sends spans to a collector as OTLP/JSON over HTTP. Lives on the account thread. */
 class SpanExporter final : public QObject
 {
 public:
     /**
-     * @brief Builds an exporter.
+     * @brief Creates an exporter.
      * @param collectorUrl Base URL of the collector; empty to drop all spans.
-     * @param daemon Name of this daemon, sent as the resource.
-     * @param metrics Takes counts of dropped spans; must outlive the exporter.
+     * @param daemon Id of this daemon, sent as `service.instance.id` of the resource.
+     * @param metrics Receives the counts of dropped spans and lost batches; must outlive the exporter.
      */
     SpanExporter(std::string collectorUrl, std::string daemon, account::MetricsSink &metrics);
 
     /**
-     * @brief Adds a span to the next batch; dropped and counted if too many wait.
-     * @param span The span.
+     * @brief Adds a span to the next batch. If the batch is full, the span is dropped and counted.
+     * @param span Span to send.
      */
     void add(account::Span span);
 
@@ -44,11 +44,11 @@
 };
 
 /**
- * @brief Writes spans as an OTLP/JSON export request.
- * @param daemon Name of the daemon.
- * @param spans The spans.
- * @param wallOffset What to add to a steady time to get calendar time.
- * @return The JSON document.
+ * @brief Encodes spans as an OTLP/JSON export request.
+ * @param daemon Id of the daemon.
+ * @param spans Spans to encode.
+ * @param wallOffset Offset to add to a steady time to get the wall-clock time.
+ * @return JSON document.
  */
 [[nodiscard]] QByteArray toOtlp(const std::string &daemon, const std::vector<account::Span> &spans, Duration wallOffset);
 
--- a/src/egretlatch/daemon/status_document.hpp
+++ b/src/egretlatch/daemon/status_document.hpp
@@ -11,11 +11,11 @@
 {
 
 /**
- * @brief Describes what a daemon knows, for operators.
- * @param roster The members it knows.
- * @param configuration What it knows of the configurations in force.
- * @param load Load of its backend server.
- * @return A JSON document.
+ * @brief Returns the status of a daemon for operators.
+ * @param roster Members known to the daemon.
+ * @param configuration Configuration versions in force here and, as reported, at other daemons.
+ * @param load Load of the daemon's backend server.
+ * @return JSON document.
  */
 [[nodiscard]] std::string statusDocument(const membership::Roster &roster, const configuration::Report &configuration, const admission::LoadReport &load);
 
--- a/test/egretlatch/account/metrics_registry.cpp
+++ b/test/egretlatch/account/metrics_registry.cpp
@@ -6,7 +6,7 @@
 using namespace egretlatch::account;
 using namespace std::chrono_literals;
 
-TEST_CASE("metrics are written as Prometheus reads them: types once, cumulative buckets, labels with names")
+TEST_CASE("metrics are exported in the Prometheus format: one type line per metric, cumulative buckets, named labels")
 {
     MetricsRegistry metrics;
     metrics.count("refusals", "no-server");
--- a/test/egretlatch/account/refusal.cpp
+++ b/test/egretlatch/account/refusal.cpp
@@ -4,7 +4,7 @@
 
 using namespace egretlatch::account;
 
-TEST_CASE("each reason is found again by its name")
+TEST_CASE("each reason can be found by its name and has an error status")
 {
     for (int index = 0; index <= static_cast<int>(RefusalReason::daemonBusy); ++index) {
         const auto reason = static_cast<RefusalReason>(index);
--- a/test/egretlatch/account/refusal_ledger.cpp
+++ b/test/egretlatch/account/refusal_ledger.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/*! @brief Makes refusals at the time of a clock. */
+/*! @brief Creates refusal records at the time of a manual clock. */
 struct RecordMaker
 {
     RefusalRecord make()
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("a batch survives the way through the object store")
+TEST_CASE("a batch is unchanged after encoding and decoding")
 {
     RecordMaker maker;
     AccountBatch batch;
@@ -53,7 +53,7 @@
     CHECK(decodeBatch(encodeBatch(batch)) == batch);
 }
 
-TEST_CASE("anything else in the object store is no batch")
+TEST_CASE("data that is not a valid batch is rejected by the decoder")
 {
     CHECK_FALSE(decodeBatch({}));
     CHECK_FALSE(decodeBatch("\xff\xff\xff\xff of four gigabytes"));
@@ -63,10 +63,10 @@
     }));
 }
 
-TEST_CASE("a refusal is stored under the minute of its id, once, whatever answers are lost")
+TEST_CASE("a refusal is stored once, under the minute of its id, even if responses of the store are lost")
 {
-    // An auditor counts refusals twice. The put of a batch takes effect and its answer is lost; a batch made anew under
-    // another name would hold the same refusals again.
+    // Guards against refusals that an auditor would count twice: a put takes effect but its response is lost, and a new
+    // batch under another name would contain the same refusals again.
     RecordMaker maker;
     RefusalLedger ledger{{"a"}, {1}};
     ledger.add(maker.make());
@@ -85,10 +85,10 @@
     CHECK(ledger.pendingCount() == 0);
 }
 
-TEST_CASE("in a long outage memory is bounded, and what was dropped is an entry with its span")
+TEST_CASE("memory is bounded during a long outage, and dropped refusals are recorded with their count and time span")
 {
-    // The store is down for an hour of overload. The daemon would run out of its 128 MB; or it would drop refusals in
-    // silence, and an auditor would take the account for whole.
+    // During an hour of overload with the store down, a daemon without a limit would exceed its 128 MB of memory. If it
+    // dropped refusals without a record, an auditor would take the account for complete.
     RecordMaker maker;
     RefusalLedger ledger{{"a"}, {1}, {.maxPending = 100, .maxBatch = 30, .maxRecent = 10}};
     for (int second = 0; second < 600; ++second) {
@@ -112,7 +112,7 @@
     CHECK(dropped == 500);
 }
 
-TEST_CASE("the last batch of a life says that it is the last")
+TEST_CASE("only the last batch of an incarnation is marked as last")
 {
     RecordMaker maker;
     RefusalLedger ledger{{"a"}, {1}};
@@ -144,7 +144,7 @@
     CHECK(ledger.find(second.refusal.id) == second);
 }
 
-TEST_CASE("no entry of the account holds a body, a header or a key")
+TEST_CASE("a stored refusal contains no body, header or request key")
 {
     RecordMaker maker;
     const QJsonObject entry = toJson(maker.make());
--- a/test/egretlatch/account/trace_context.cpp
+++ b/test/egretlatch/account/trace_context.cpp
@@ -6,14 +6,14 @@
 using namespace egretlatch;
 using namespace egretlatch::account;
 
-TEST_CASE("a trace survives the way through its header")
+TEST_CASE("a trace context is unchanged after formatting and parsing")
 {
     SeededRandom random{1};
     const TraceContext context = startTrace(random);
     CHECK(parseTraceParent(toTraceParent(context)) == context);
 }
 
-TEST_CASE("a child keeps the trace and has a span of its own")
+TEST_CASE("a child context keeps the trace id and has a new span id")
 {
     SeededRandom random{1};
     const TraceContext parent = startTrace(random);
@@ -22,7 +22,7 @@
     CHECK(child.spanId != parent.spanId);
 }
 
-TEST_CASE("malformed headers are no trace")
+TEST_CASE("malformed traceparent headers are rejected")
 {
     CHECK(parseTraceParent("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"));
     CHECK_FALSE(parseTraceParent(""));
@@ -32,7 +32,7 @@
     CHECK_FALSE(parseTraceParent("ff-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"));
 }
 
-TEST_CASE("any text is a trace or none")
+TEST_CASE("parsing arbitrary text does not crash")
 {
     CHECK(rc::check([](const std::string &text) {
         static_cast<void>(parseTraceParent(text));
--- a/test/egretlatch/daemon/peer_thread.cpp
+++ b/test/egretlatch/daemon/peer_thread.cpp
@@ -36,7 +36,7 @@
     return {.publicKey = publicKey.data(), .secretKey = secretKey.data(), .accepted = {publicKey.data()}};
 }
 
-// The peer thread of one daemon, and what it tells the deciding thread.
+// Peer thread of one daemon, with the rings that connect it to the decide thread.
 struct Peer
 {
     Peer(const std::string &id, const std::uint64_t incarnation, const std::string &endpoint, std::optional<settings::PeerKeys> keys)
@@ -62,7 +62,7 @@
         REQUIRE(messagesToSend.tryPush({.to = {to}, .endpoint = endpoint, .message = request}));
     }
 
-    // The next event of a type; the limit only keeps a broken run from hanging.
+    // Returns the next event of a type. The time limit only keeps a failing test from hanging.
     template<typename Type>
     [[nodiscard]] std::optional<Type> next()
     {
@@ -94,10 +94,10 @@
 
 } // namespace
 
-TEST_CASE("a request for a daemon that is down is told to have failed, and does not reach its next life")
+TEST_CASE("a request to a daemon that is down is reported as failed and does not reach its next incarnation")
 {
-    // A launch is entered twice. The first attempt waits in a queue for a daemon that is down, the caller is told that it
-    // was not run and sends it again elsewhere, and the daemon's next life then gets the first as if it were new.
+    // Guards against a launch that is entered twice: the first attempt stays queued for a daemon that is down, the caller
+    // is told that it was not run and resends it elsewhere, and the daemon's next incarnation then receives the first.
     const std::string endpoint = freeEndpoint();
     const settings::PeerKeys keys = makeKeys();
     Peer sender{"sender", 1, freeEndpoint(), keys};
@@ -114,7 +114,7 @@
     CHECK(receiver.nextCall() == 2);
 }
 
-TEST_CASE("the loss of an open connection is told, and the next request opens another")
+TEST_CASE("the loss of an open connection is reported, and the next request opens a new one")
 {
     const std::string endpoint = freeEndpoint();
     const settings::PeerKeys keys = makeKeys();
@@ -134,7 +134,7 @@
     CHECK(receiver.nextCall() == 2);
 }
 
-TEST_CASE("a daemon with another key neither gets nor gives a message")
+TEST_CASE("a message to a daemon with a different key is reported as failed")
 {
     const std::string endpoint = freeEndpoint();
     Peer receiver{"receiver", 1, endpoint, makeKeys()};
@@ -144,7 +144,7 @@
     CHECK(stranger.next<decision::SendFailed>().has_value());
 }
 
-TEST_CASE("a client that has the server's key but none of its own that is accepted is refused")
+TEST_CASE("a client that knows the server's key is rejected if its own key is not accepted")
 {
     const std::string endpoint = freeEndpoint();
     const settings::PeerKeys keys = makeKeys();
@@ -157,7 +157,7 @@
     CHECK(receiver.metrics.toPrometheus().find("unknown-key") != std::string::npos);
 }
 
-TEST_CASE("while keys are changed, daemons with the old and the new one reach each other")
+TEST_CASE("daemons with the old and the new key can communicate while keys are rotated")
 {
     settings::PeerKeys old = makeKeys();
     settings::PeerKeys fresh = makeKeys();
--- a/test/egretlatch/daemon/problem_document.cpp
+++ b/test/egretlatch/daemon/problem_document.cpp
@@ -9,7 +9,7 @@
 using namespace egretlatch;
 using namespace egretlatch::daemon;
 
-TEST_CASE("a refusal is answered with what decided and when to come back")
+TEST_CASE("the answer to a refused request holds the reason, the figures and the time to retry")
 {
     decision::CallerAnswer answer;
     answer.status = 429;
@@ -33,7 +33,7 @@
     CHECK(headers[2] == Header{.name = "Retry-After", .value = "2"});
 }
 
-TEST_CASE("headers of one connection are not passed on")
+TEST_CASE("hop-by-hop headers are not forwarded")
 {
     CHECK_FALSE(isEndToEnd("Connection"));
     CHECK_FALSE(isEndToEnd("transfer-encoding"));
