--- a/src/egretlatch/daemon/decide_thread.cpp
+++ b/src/egretlatch/daemon/decide_thread.cpp
@@ -144,11 +144,11 @@
             handle(decision::PlatformAnswered{.id = id, .outcome = tl::unexpected{Error{ErrorCode::unavailable, "the ring to the platform thread is full"}}});
         }
     } else if (const auto *const inForce = std::get_if<decision::ManifestInForce>(&action)) {
-        m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"sourceDaemon", inForce->bringer.value}});
+        m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"sourceDaemon", inForce->sourceDaemon.value}});
         isQueued = m_actionRings.toCallers.tryPush(ReadyChanged{.isReady = true});
     } else if (const auto *const changed = std::get_if<decision::MemberChanged>(&action)) {
         m_logger.debug("member changed", {{"member", changed->id.value}, {"state", membership::toString(changed->state)}});
-    } else if (const auto *const departure = std::get_if<decision::DepartureHeard>(&action)) {
+    } else if (const auto *const departure = std::get_if<decision::DepartureReported>(&action)) {
         m_logger.info("departure reported", {{"instance", departure->instance}});
     } else if (std::holds_alternative<decision::Drained>(action)) {
         m_onDrained();
--- a/src/egretlatch/daemon/peer_thread.cpp
+++ b/src/egretlatch/daemon/peer_thread.cpp
@@ -63,7 +63,7 @@
         while (const std::unique_ptr<decision::SendToPeer> action = messagesToSend.tryPop()) {
             m_exchange.send(*action);
         }
-        m_exchange.work();
+        m_exchange.processSockets();
     }
 }
 
