--- a/src/egretlatch/daemon/backend_client.cpp
+++ b/src/egretlatch/daemon/backend_client.cpp
@@ -22,7 +22,7 @@
 [[nodiscard]] static QNetworkRequest toQt(const std::string &baseUrl, const decision::RunRequest &run)
 {
     QNetworkRequest request{QUrl::fromEncoded(toQt(baseUrl + run.path), QUrl::TolerantMode)};
-    // An answer is passed on as it came: no redirect is followed, nothing is unpacked, no cookie is kept.
+    // Responses are forwarded unchanged: redirects are not followed, content is not decoded and cookies are not stored.
     request.setAttribute(QNetworkRequest::RedirectPolicyAttribute, QNetworkRequest::ManualRedirectPolicy);
     request.setAttribute(QNetworkRequest::CookieLoadControlAttribute, QNetworkRequest::Manual);
     request.setAttribute(QNetworkRequest::CookieSaveControlAttribute, QNetworkRequest::Manual);
@@ -43,12 +43,12 @@
     return request;
 }
 
-[[nodiscard]] static decision::RunFailure failureOf(const QNetworkReply::NetworkError error)
+[[nodiscard]] static decision::RunFailure toRunFailure(const QNetworkReply::NetworkError error)
 {
     return error == QNetworkReply::ConnectionRefusedError ? decision::RunFailure::neverConnected : decision::RunFailure::lost;
 }
 
-[[nodiscard]] static decision::RunAnswer answerOf(QNetworkReply &reply, const int status)
+[[nodiscard]] static decision::RunAnswer toRunAnswer(QNetworkReply &reply, const int status)
 {
     decision::RunAnswer answer;
     answer.status = status;
@@ -61,9 +61,9 @@
     return answer;
 }
 
-[[nodiscard]] static bool isCutShort(const QNetworkReply::NetworkError error)
+[[nodiscard]] static bool isConnectionError(const QNetworkReply::NetworkError error)
 {
-    // The errors by which Qt reports a status of 400 and above come with a whole answer; those of the connection do not.
+    // Qt also reports a status of 400 and above as an error, but then the response is complete. After a connection error it is not.
     return error == QNetworkReply::RemoteHostClosedError || error == QNetworkReply::ContentReSendError || error == QNetworkReply::TimeoutError
         || error == QNetworkReply::OperationCanceledError || error == QNetworkReply::UnknownNetworkError || error == QNetworkReply::ProtocolFailure
         || error == QNetworkReply::TemporaryNetworkFailureError;
@@ -106,8 +106,8 @@
         return;
     }
     const int status = reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
-    if (status == 0 || internal::isCutShort(reply->error())) {
-        m_onEnd({.execution = execution, .result = internal::failureOf(reply->error())});
+    if (status == 0 || internal::isConnectionError(reply->error())) {
+        m_onEnd({.execution = execution, .result = internal::toRunFailure(reply->error())});
         return;
     }
     const bool isRejected = status == internal::serviceUnavailable && reply->rawHeader(verdictHeader) == toString(Verdict::notRun).data();
@@ -115,7 +115,7 @@
         m_onEnd({.execution = execution, .result = decision::RunFailure::rejected});
         return;
     }
-    m_onEnd({.execution = execution, .result = internal::answerOf(*reply, status)});
+    m_onEnd({.execution = execution, .result = internal::toRunAnswer(*reply, status)});
 }
 
 } // namespace egretlatch::daemon
