--- a/src/egretlatch/sidecar/adaptive_options.cpp
+++ b/src/egretlatch/sidecar/adaptive_options.cpp
@@ -14,10 +14,10 @@
 
 } // namespace internal
 
-daemon::AdaptiveOptions adaptiveOptions(const settings::SwitchedOff &switchedOff)
+daemon::AdaptiveOptions adaptiveOptions(const settings::DisabledMechanisms &disabledMechanisms)
 {
-    const auto isEnabled = [&switchedOff](const settings::Mechanism mechanism) {
-        return !switchedOff.contains(mechanism);
+    const auto isEnabled = [&disabledMechanisms](const settings::Mechanism mechanism) {
+        return !disabledMechanisms.contains(mechanism);
     };
     using settings::Mechanism;
     daemon::AdaptiveOptions options;
--- a/src/egretlatch/sidecar/adaptive_options.hpp
+++ b/src/egretlatch/sidecar/adaptive_options.hpp
@@ -9,10 +9,10 @@
 
 /**
  * @brief Returns the options of the adaptive policy for daemons on the platform's VMs.
- * @param switchedOff Mechanisms that an experiment disables.
+ * @param disabledMechanisms Mechanisms that an experiment disables.
  * @return The options.
  */
-[[nodiscard]] daemon::AdaptiveOptions adaptiveOptions(const settings::SwitchedOff &switchedOff);
+[[nodiscard]] daemon::AdaptiveOptions adaptiveOptions(const settings::DisabledMechanisms &disabledMechanisms);
 
 } // namespace egretlatch::sidecar
 
--- a/src/egretlatch/sidecar/sidecar.cpp
+++ b/src/egretlatch/sidecar/sidecar.cpp
@@ -142,13 +142,13 @@
         .afterSignal = shutdownTimes(m_bounds.grace, {}).notice,
         .lastStart = internal::lastStartPercent * m_bounds.drain / internal::hundredPercent,
     });
-    daemon::applyPolicy(m_settings.policy, m_random, builder, adaptiveOptions(m_settings.switchedOff));
+    daemon::applyPolicy(m_settings.policy, m_random, builder, adaptiveOptions(m_settings.disabledMechanisms));
     return builder.build();
 }
 
 double Sidecar::usedShareOfRetries() const
 {
-    return m_settings.switchedOff.contains(settings::Mechanism::retries) ? 0.0 : internal::usedShareOfRetries;
+    return m_settings.disabledMechanisms.contains(settings::Mechanism::retries) ? 0.0 : internal::usedShareOfRetries;
 }
 
 Result<void> Sidecar::start()
@@ -156,7 +156,7 @@
     if (Result<void> listening = listen(); !listening.has_value()) {
         return listening;
     }
-    m_frontend.setOverlap(!m_settings.switchedOff.contains(settings::Mechanism::overlap));
+    m_frontend.setOverlap(!m_settings.disabledMechanisms.contains(settings::Mechanism::overlap));
     m_startedAt = m_clock.steadyNow();
     m_maintenanceTimer.start();
     m_feed.tick();
