--- a/src/egretlatch/cli/daemon_command.cpp
+++ b/src/egretlatch/cli/daemon_command.cpp
@@ -38,7 +38,7 @@
     daemon::Tokens tokens{.operators = std::move(*operatorToken), .platform = std::move(*platformToken)};
     // GLib's event loop, which Qt takes where it finds it, costs more processor time a call (docs/DESIGN.md).
     qputenv("QT_NO_GLIB", "1");
-    const int signalDescriptor = openSignals({SIGTERM, SIGINT});
+    const int signalDescriptor = openSignalDescriptor({SIGTERM, SIGINT});
     QCoreApplication application{argc, argv};
     daemon::Daemon daemon{*settings, std::move(tokens), std::move(manifest)};
     QSocketNotifier notifier{signalDescriptor, QSocketNotifier::Read};
--- a/src/egretlatch/cli/documents.cpp
+++ b/src/egretlatch/cli/documents.cpp
@@ -10,7 +10,7 @@
 namespace internal
 {
 
-static void print(const std::string &path, const settings::Problems &problems)
+static void printProblems(const std::string &path, const settings::Problems &problems)
 {
     for (const settings::Problem &problem : problems) {
         fmt::print(stderr, "{}\n", settings::toLine(path, problem));
@@ -37,7 +37,7 @@
     }
     tl::expected<settings::DaemonSettings, settings::Problems> settings = settings::parseDaemonSettings(*text);
     if (!settings.has_value()) {
-        internal::print(path, settings.error());
+        internal::printProblems(path, settings.error());
         return std::nullopt;
     }
     return *settings;
@@ -51,10 +51,10 @@
     }
     tl::expected<manifest::ParsedManifest, settings::Problems> parsed = manifest::parseManifest(*text);
     if (!parsed.has_value()) {
-        internal::print(path, parsed.error());
+        internal::printProblems(path, parsed.error());
         return nullptr;
     }
-    internal::print(path, parsed->warnings);
+    internal::printProblems(path, parsed->warnings);
     return parsed->manifest;
 }
 
--- a/src/egretlatch/cli/explain_command.cpp
+++ b/src/egretlatch/cli/explain_command.cpp
@@ -13,7 +13,7 @@
 #include <egretlatch/cli/documents.hpp>
 #include <egretlatch/cli/http_fetch.hpp>
 #include <egretlatch/cli/log_file.hpp>
-#include <egretlatch/cli/request_story.hpp>
+#include <egretlatch/cli/request_timeline.hpp>
 #include <egretlatch/store/backoff.hpp>
 
 namespace egretlatch::cli
@@ -22,10 +22,10 @@
 namespace internal
 {
 
-constexpr int namesAtOnce = 1000;
-constexpr int attempts = 10;
-constexpr std::chrono::milliseconds firstWait{50};
-constexpr std::chrono::seconds longestWait{2};
+constexpr int namesPerPage = 1000;
+constexpr int maxAttempts = 10;
+constexpr std::chrono::milliseconds initialBackoff{50};
+constexpr std::chrono::seconds maxBackoff{2};
 
 using BatchVisitor = std::function<bool(const account::AccountBatch &)>;
 
@@ -43,13 +43,13 @@
     void visit(const std::string &prefix, std::string after, const std::string &end, const BatchVisitor &visitor)
     {
         while (true) {
-            const std::optional<store::Reply> reply = ask(store::ObjectList{.prefix = prefix, .after = after, .limit = namesAtOnce});
+            const std::optional<store::Reply> reply = ask(store::ObjectList{.prefix = prefix, .after = after, .limit = namesPerPage});
             const auto *const names = reply.has_value() ? std::get_if<store::NamesReply>(&*reply) : nullptr;
             if (names == nullptr || names->names.empty()) {
                 return;
             }
             for (const std::string &name : names->names) {
-                if ((!end.empty() && name >= end) || !visitOne(name, visitor)) {
+                if ((!end.empty() && name >= end) || !visitBatch(name, visitor)) {
                     return;
                 }
             }
@@ -62,13 +62,13 @@
         return m_failure;
     }
 
-    [[nodiscard]] int unreadable() const noexcept
+    [[nodiscard]] int unreadableBatches() const noexcept
     {
-        return m_unreadable;
+        return m_unreadableBatches;
     }
 
 private:
-    [[nodiscard]] bool visitOne(const std::string &name, const BatchVisitor &visitor)
+    [[nodiscard]] bool visitBatch(const std::string &name, const BatchVisitor &visitor)
     {
         const std::optional<store::Reply> reply = ask(store::ObjectGet{.name = name});
         if (!reply.has_value()) {
@@ -77,7 +77,7 @@
         const auto *const object = std::get_if<store::ObjectReply>(&*reply);
         const std::optional<account::AccountBatch> batch = object == nullptr ? std::nullopt : account::decodeBatch(object->bytes);
         if (!batch.has_value()) {
-            ++m_unreadable;
+            ++m_unreadableBatches;
             return true;
         }
         return visitor(*batch);
@@ -85,8 +85,8 @@
 
     [[nodiscard]] std::optional<store::Reply> ask(const store::Request &request)
     {
-        store::Backoff backoff{firstWait, longestWait};
-        for (int attempt = 0; attempt < attempts; ++attempt) {
+        store::Backoff backoff{initialBackoff, maxBackoff};
+        for (int attempt = 0; attempt < maxAttempts; ++attempt) {
             store::Outcome outcome = m_port.ask(request);
             if (outcome.has_value()) {
                 return std::move(*outcome);
@@ -96,7 +96,7 @@
                 return std::nullopt;
             }
             m_port.wait(backoff.next(m_random));
-            m_failure = attempt + 1 == attempts ? m_failure : std::string{};
+            m_failure = attempt + 1 == maxAttempts ? m_failure : std::string{};
         }
         return std::nullopt;
     }
@@ -104,7 +104,7 @@
     PlatformPort &m_port;
     RandomSource &m_random;
     std::string m_failure;
-    int m_unreadable{};
+    int m_unreadableBatches{};
 };
 
 [[nodiscard]] static std::string toText(const WallTime time)
@@ -118,37 +118,37 @@
 }
 
 /*! @brief What a sum is kept by. */
-struct SumKey
+struct RefusalGroup
 {
     std::string kind;
     std::string reason;
     std::string verdict;
 
-    friend auto operator<=>(const SumKey &, const SumKey &) = default;
+    friend auto operator<=>(const RefusalGroup &, const RefusalGroup &) = default;
 };
 
 /*! @brief The sum of a span. */
-struct Sum
+struct RefusalSummary
 {
-    std::map<SumKey, std::uint64_t> counts;
+    std::map<RefusalGroup, std::uint64_t> counts;
     std::vector<std::string> gaps;
     std::uint64_t total{};
 };
 
-static void add(const account::AccountBatch &batch, const AccountSpan &span, Sum &sum)
+static void add(const account::AccountBatch &batch, const RefusalQuery &query, RefusalSummary &summary)
 {
     for (const account::RefusalRecord &record : batch.refusals) {
         const std::string kind = record.service + "/" + record.kind;
-        const bool isInSpan = record.time >= span.since && record.time < span.until;
-        if (!isInSpan || (!span.kind.empty() && span.kind != kind)) {
+        const bool isInRange = record.time >= query.since && record.time < query.until;
+        if (!isInRange || (!query.kind.empty() && query.kind != kind)) {
             continue;
         }
-        const SumKey key{.kind = kind, .reason = std::string{toString(record.refusal.reason)}, .verdict = std::string{toString(record.verdict)}};
-        ++sum.counts[key];
-        ++sum.total;
+        const RefusalGroup key{.kind = kind, .reason = std::string{toString(record.refusal.reason)}, .verdict = std::string{toString(record.verdict)}};
+        ++summary.counts[key];
+        ++summary.total;
     }
     for (const account::DroppedRefusals &gap : batch.dropped) {
-        sum.gaps.push_back(describe(batch.daemon, gap));
+        summary.gaps.push_back(describe(batch.daemon, gap));
     }
 }
 
@@ -162,7 +162,7 @@
 }
 
 // Refusals of the last minute are held by the daemons alone.
-[[nodiscard]] static std::optional<account::RefusalRecord> askDaemons(const ExplainOptions &options, const Secret &token)
+[[nodiscard]] static std::optional<account::RefusalRecord> fetchFromDaemons(const ExplainOptions &options, const Secret &token)
 {
     for (const std::string &url : options.daemons) {
         const Result<QByteArray> page = fetchPage(url + "/refusals/" + options.id, token);
@@ -179,7 +179,7 @@
 [[nodiscard]] static CommandResult explain(const ExplainOptions &options, const Secret &operatorToken, RandomSource &random)
 {
     if (!options.id.empty()) {
-        if (const std::optional<account::RefusalRecord> record = askDaemons(options, operatorToken)) {
+        if (const std::optional<account::RefusalRecord> record = fetchFromDaemons(options, operatorToken)) {
             return describeRefusal(*record, options.isJson);
         }
         const bool hasPlatform = !options.platform.url.empty() || !options.platform.settingsPath.empty();
@@ -192,30 +192,30 @@
         return {.code = ExitCode::badInput, .text = {}};
     }
     if (!options.id.empty()) {
-        return explainOne(*Uuid::parse(options.id), *port, random, options.isJson);
+        return explainRefusal(*Uuid::parse(options.id), *port, random, options.isJson);
     }
     const std::optional<WallTime> since = parseTime(options.since);
     const std::optional<WallTime> until = options.until.empty() ? std::optional{std::chrono::system_clock::now()} : parseTime(options.until);
     if (!since.has_value() || !until.has_value()) {
         return {.code = ExitCode::badInput, .text = "--since and --until are times such as 2026-12-02T22:00:00Z\n"};
     }
-    return explainSpan({.since = *since, .until = *until, .kind = options.kind}, *port, random);
+    return summarizeRefusals({.since = *since, .until = *until, .kind = options.kind}, *port, random);
 }
 
-[[nodiscard]] static CommandResult tellStory(const ExplainOptions &options)
+[[nodiscard]] static CommandResult describeTimeline(const ExplainOptions &options)
 {
     if (options.id.empty()) {
         return {.code = ExitCode::badInput, .text = "--log wants the name of a request\n"};
     }
-    RequestStory story{options.id};
+    RequestTimeline timeline{options.id};
     for (const std::string &path : options.logs) {
         const Result<QByteArray> log = readLog(path);
         if (!log.has_value()) {
             return {.code = ExitCode::badInput, .text = log.error().message + "\n"};
         }
-        story.read(*log);
+        timeline.read(*log);
     }
-    return options.isJson ? story.asJson() : story.inSentences();
+    return options.isJson ? timeline.asJson() : timeline.asText();
 }
 
 } // namespace internal
@@ -228,7 +228,7 @@
     return {.code = ExitCode::success, .text = account::toSentence(record) + "\n"};
 }
 
-CommandResult explainOne(const Uuid &id, PlatformPort &port, RandomSource &random, const bool isJson)
+CommandResult explainRefusal(const Uuid &id, PlatformPort &port, RandomSource &random, const bool isJson)
 {
     const std::optional<WallTime> minted = id.mintedAt();
     if (!minted.has_value()) {
@@ -260,27 +260,27 @@
     return {.code = ExitCode::notFound, .text = std::move(text)};
 }
 
-CommandResult explainSpan(const AccountSpan &span, PlatformPort &port, RandomSource &random)
+CommandResult summarizeRefusals(const RefusalQuery &query, PlatformPort &port, RandomSource &random)
 {
     internal::AccountReader reader{port, random};
-    internal::Sum sum;
-    const std::string end = account::minutePrefix(span.until + std::chrono::minutes{1});
-    reader.visit(account::accountPrefix, account::minutePrefix(span.since), end, [&](const account::AccountBatch &batch) {
-        internal::add(batch, span, sum);
+    internal::RefusalSummary summary;
+    const std::string end = account::minutePrefix(query.until + std::chrono::minutes{1});
+    reader.visit(account::accountPrefix, account::minutePrefix(query.since), end, [&](const account::AccountBatch &batch) {
+        internal::add(batch, query, summary);
         return true;
     });
     if (!reader.failure().empty()) {
         return {.code = ExitCode::unavailable, .text = fmt::format("the account could not be read: {}\n", reader.failure())};
     }
-    std::string text = fmt::format("{} refusals from {} to {} UTC\n", sum.total, internal::toText(span.since), internal::toText(span.until));
-    for (const auto &[key, count] : sum.counts) {
+    std::string text = fmt::format("{} refusals from {} to {} UTC\n", summary.total, internal::toText(query.since), internal::toText(query.until));
+    for (const auto &[key, count] : summary.counts) {
         text += fmt::format("{:>10}  {:<40} {:<22} {}\n", count, key.kind, key.reason, key.verdict);
     }
-    for (const std::string &gap : sum.gaps) {
+    for (const std::string &gap : summary.gaps) {
         text += "not whole: " + gap + "\n";
     }
-    if (reader.unreadable() > 0) {
-        text += fmt::format("not whole: {} objects could not be read\n", reader.unreadable());
+    if (reader.unreadableBatches() > 0) {
+        text += fmt::format("not whole: {} objects could not be read\n", reader.unreadableBatches());
     }
     return {.code = ExitCode::success, .text = std::move(text)};
 }
@@ -288,9 +288,9 @@
 int runExplain(const ExplainOptions &options, int argc, char **argv)
 {
     if (!options.logs.empty()) {
-        const CommandResult told = internal::tellStory(options);
-        fmt::print("{}", told.text);
-        return told.code;
+        const CommandResult result = internal::describeTimeline(options);
+        fmt::print("{}", result.text);
+        return result.code;
     }
     if (!options.id.empty() && !Uuid::parse(options.id).has_value()) {
         fmt::print(stderr, "egretlatch: {} is not the id of a refusal\n", options.id);
--- a/src/egretlatch/cli/explain_command.hpp
+++ b/src/egretlatch/cli/explain_command.hpp
@@ -32,14 +32,14 @@
 };
 
 /*! @brief A span of the account to sum up. */
-struct AccountSpan
+struct RefusalQuery
 {
     WallTime since;
     WallTime until;
     /*! @brief `service/kind`, or empty for all. */
     std::string kind;
 
-    friend bool operator==(const AccountSpan &, const AccountSpan &) = default;
+    friend bool operator==(const RefusalQuery &, const RefusalQuery &) = default;
 };
 
 /**
@@ -58,7 +58,7 @@
  * @param isJson Whether an auditor reads it, or a member.
  * @return What to print; `notFound` if the account of that minute does not hold it.
  */
-[[nodiscard]] CommandResult explainOne(const Uuid &id, PlatformPort &port, RandomSource &random, bool isJson);
+[[nodiscard]] CommandResult explainRefusal(const Uuid &id, PlatformPort &port, RandomSource &random, bool isJson);
 
 /**
  * @brief Sums up a span of the account.
@@ -67,7 +67,7 @@
  * @param random Source of jitter.
  * @return What to print, gaps of the account included.
  */
-[[nodiscard]] CommandResult explainSpan(const AccountSpan &span, PlatformPort &port, RandomSource &random);
+[[nodiscard]] CommandResult summarizeRefusals(const RefusalQuery &query, PlatformPort &port, RandomSource &random);
 
 /**
  * @brief Runs `egretlatch explain`.
--- a/src/egretlatch/cli/http_fetch.cpp
+++ b/src/egretlatch/cli/http_fetch.cpp
@@ -11,8 +11,8 @@
 {
 
 constexpr std::chrono::milliseconds timeout{3000};
-constexpr int unauthorized = 401;
-constexpr int missing = 404;
+constexpr int statusUnauthorized = 401;
+constexpr int statusNotFound = 404;
 
 } // namespace internal
 
@@ -29,10 +29,10 @@
     QObject::connect(reply.get(), &QNetworkReply::finished, &loop, &QEventLoop::quit);
     loop.exec();
     const int status = reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
-    if (status == internal::unauthorized) {
+    if (status == internal::statusUnauthorized) {
         return tl::unexpected{Error{ErrorCode::forbidden, "the daemon does not accept the token"}};
     }
-    if (status == internal::missing) {
+    if (status == internal::statusNotFound) {
         return tl::unexpected{Error{ErrorCode::notFound, "the daemon has no such page"}};
     }
     if (reply->error() != QNetworkReply::NoError) {
--- a/src/egretlatch/cli/log_line.hpp
+++ b/src/egretlatch/cli/log_line.hpp
@@ -15,7 +15,7 @@
  * @param line The line.
  * @return Its fields; none if it is no log line.
  */
-[[nodiscard]] inline QJsonObject fieldsOf(const QByteArray &line)
+[[nodiscard]] inline QJsonObject parseLogLine(const QByteArray &line)
 {
     const qsizetype brace = line.indexOf('{');
     return brace < 0 ? QJsonObject{} : QJsonDocument::fromJson(line.mid(brace)).object();
@@ -27,7 +27,7 @@
  * @param name Name of the field.
  * @return Empty if the line has no such field.
  */
-[[nodiscard]] inline std::string textOf(const QJsonObject &fields, const char *const name)
+[[nodiscard]] inline std::string textField(const QJsonObject &fields, const char *const name)
 {
     return fields[QLatin1String{name}].toString().toStdString();
 }
@@ -38,7 +38,7 @@
  * @param name Name of the field.
  * @return Zero if the line has no such field.
  */
-[[nodiscard]] inline qint64 numberOf(const QJsonObject &fields, const char *const name)
+[[nodiscard]] inline qint64 numberField(const QJsonObject &fields, const char *const name)
 {
     return fields[QLatin1String{name}].toString().toLongLong();
 }
--- a/src/egretlatch/cli/log_reader.cpp
+++ b/src/egretlatch/cli/log_reader.cpp
@@ -10,34 +10,34 @@
 void LogReader::read(const QByteArray &log)
 {
     for (const QByteArray &text : log.split('\n')) {
-        const QJsonObject fields = fieldsOf(text);
+        const QJsonObject fields = parseLogLine(text);
         if (fields.isEmpty()) {
-            m_unreadable += text.trimmed().isEmpty() ? 0 : 1;
+            m_linesUnreadable += text.trimmed().isEmpty() ? 0 : 1;
             continue;
         }
-        if (textOf(fields, "event") == "lines left out") {
-            m_leftOut += static_cast<std::uint64_t>(numberOf(fields, "count"));
+        if (textField(fields, "event") == "lines left out") {
+            m_linesLeftOut += static_cast<std::uint64_t>(numberField(fields, "count"));
         }
-        take(fields);
+        processLine(fields);
     }
 }
 
-std::string LogReader::missing() const
+std::string LogReader::describeGaps() const
 {
     std::string text;
-    if (m_leftOut > 0) {
-        text += fmt::format("not whole: these logs say that {} lines were left out\n", m_leftOut);
+    if (m_linesLeftOut > 0) {
+        text += fmt::format("not whole: these logs say that {} lines were left out\n", m_linesLeftOut);
     }
-    if (m_unreadable > 0) {
-        text += fmt::format("not whole: {} lines could not be read\n", m_unreadable);
+    if (m_linesUnreadable > 0) {
+        text += fmt::format("not whole: {} lines could not be read\n", m_linesUnreadable);
     }
     return text;
 }
 
-void LogReader::addMissing(QJsonObject &document) const
+void LogReader::addGapCounts(QJsonObject &document) const
 {
-    document[u"linesLeftOut"] = static_cast<qint64>(m_leftOut);
-    document[u"linesUnreadable"] = static_cast<qint64>(m_unreadable);
+    document[u"linesLeftOut"] = static_cast<qint64>(m_linesLeftOut);
+    document[u"linesUnreadable"] = static_cast<qint64>(m_linesUnreadable);
 }
 
 } // namespace egretlatch::cli
--- a/src/egretlatch/cli/log_reader.hpp
+++ b/src/egretlatch/cli/log_reader.hpp
@@ -31,23 +31,23 @@
      * @brief Takes one line.
      * @param fields Its fields.
      */
-    virtual void take(const QJsonObject &fields) = 0;
+    virtual void processLine(const QJsonObject &fields) = 0;
 
     /**
      * @brief Says in sentences what is missing.
      * @return A line for each cause; empty if nothing is.
      */
-    [[nodiscard]] std::string missing() const;
+    [[nodiscard]] std::string describeGaps() const;
 
     /**
      * @brief Puts the counts of what is missing into a document.
      * @param document The document.
      */
-    void addMissing(QJsonObject &document) const;
+    void addGapCounts(QJsonObject &document) const;
 
 private:
-    std::uint64_t m_unreadable{};
-    std::uint64_t m_leftOut{};
+    std::uint64_t m_linesUnreadable{};
+    std::uint64_t m_linesLeftOut{};
 };
 
 } // namespace egretlatch::cli
--- a/src/egretlatch/cli/loss_table.cpp
+++ b/src/egretlatch/cli/loss_table.cpp
@@ -29,17 +29,17 @@
 {
 }
 
-void LossTable::take(const QJsonObject &fields)
+void LossTable::processLine(const QJsonObject &fields)
 {
-    if (textOf(fields, "event") != "refused" || numberOf(fields, "depth") > 0) {
+    if (textField(fields, "event") != "refused" || numberField(fields, "depth") > 0) {
         return;
     }
     const std::int64_t seconds = QDateTime::fromString(fields[u"time"].toString(), Qt::ISODateWithMs).toSecsSinceEpoch();
     const Row row{
         .begin = seconds - seconds % m_span.count(),
-        .kind = textOf(fields, "service") + "/" + textOf(fields, "kind"),
-        .reason = textOf(fields, "reason"),
-        .daemon = textOf(fields, "server"),
+        .kind = textField(fields, "service") + "/" + textField(fields, "kind"),
+        .reason = textField(fields, "reason"),
+        .daemon = textField(fields, "server"),
     };
     Loss &loss = m_losses[row];
     ++loss.requests;
@@ -54,11 +54,16 @@
     });
     std::string text = fmt::format("{:<20} {:>8} {:>8}  {:<32} {:<20} {}\n", "from", "requests", "worth", "kind", "reason", "asked last");
     for (const auto &[row, loss] : rows) {
-        const std::string asked = row.daemon.empty() ? "nobody" : row.daemon;
-        text += fmt::format(
-            "{:<20} {:>8} {:>8.1f}  {:<32} {:<20} {}\n", internal::timeOf(row.begin).toStdString(), loss.requests, loss.worth, row.kind, row.reason, asked);
+        const std::string lastDaemon = row.daemon.empty() ? "nobody" : row.daemon;
+        text += fmt::format("{:<20} {:>8} {:>8.1f}  {:<32} {:<20} {}\n",
+                            internal::timeOf(row.begin).toStdString(),
+                            loss.requests,
+                            loss.worth,
+                            row.kind,
+                            row.reason,
+                            lastDaemon);
     }
-    text += missing();
+    text += describeGaps();
     return {.code = ExitCode::success, .text = std::move(text)};
 }
 
@@ -77,7 +82,7 @@
         });
     }
     QJsonObject document{{u"losses"_qs, rows}};
-    addMissing(document);
+    addGapCounts(document);
     return {.code = ExitCode::success, .text = QJsonDocument{document}.toJson().toStdString()};
 }
 
--- a/src/egretlatch/cli/loss_table.hpp
+++ b/src/egretlatch/cli/loss_table.hpp
@@ -60,7 +60,7 @@
         double worth{};
     };
 
-    void take(const QJsonObject &fields) override;
+    void processLine(const QJsonObject &fields) override;
 
     std::chrono::seconds m_span;
     std::map<Row, Loss> m_losses;
--- a/src/egretlatch/cli/losses_command.cpp
+++ b/src/egretlatch/cli/losses_command.cpp
@@ -20,9 +20,9 @@
         }
         table.read(*log);
     }
-    const CommandResult told = options.isJson ? table.asJson() : table.asText();
-    fmt::print("{}", told.text);
-    return told.code;
+    const CommandResult result = options.isJson ? table.asJson() : table.asText();
+    fmt::print("{}", result.text);
+    return result.code;
 }
 
 } // namespace egretlatch::cli
--- a/src/egretlatch/cli/main.cpp
+++ b/src/egretlatch/cli/main.cpp
@@ -24,17 +24,17 @@
 
 [[nodiscard]] int check(const std::string &settingsPath, const std::string &manifestPath)
 {
-    bool isGood = true;
+    bool isValid = true;
     if (!settingsPath.empty()) {
-        isGood = readSettings(settingsPath).has_value();
+        isValid = readSettings(settingsPath).has_value();
     }
     if (!manifestPath.empty()) {
-        isGood = readManifest(manifestPath) != nullptr && isGood;
+        isValid = readManifest(manifestPath) != nullptr && isValid;
     }
-    if (isGood) {
+    if (isValid) {
         fmt::print("no errors\n");
     }
-    return isGood ? ExitCode::success : ExitCode::badInput;
+    return isValid ? ExitCode::success : ExitCode::badInput;
 }
 
 void addPlatformOptions(CLI::App &command, PlatformOptions &options)
--- a/src/egretlatch/cli/request_story.cpp
+++ b/src/egretlatch/cli/request_timeline.cpp
@@ -1,4 +1,4 @@
-#include <egretlatch/cli/request_story.hpp>
+#include <egretlatch/cli/request_timeline.hpp>
 
 #include <algorithm>
 
@@ -31,72 +31,75 @@
     return figures;
 }
 
-[[nodiscard]] static account::RefusalRecord recordFrom(const StoryLine &line)
+[[nodiscard]] static account::RefusalRecord recordFrom(const RequestLogLine &line)
 {
     const QJsonObject &fields = line.fields;
     account::RefusalRecord record;
-    record.refusal.reason = account::refusalReasonFromString(textOf(fields, "reason")).value_or(account::RefusalReason::serverLost);
-    record.refusal.rule = textOf(fields, "rule");
+    record.refusal.reason = account::refusalReasonFromString(textField(fields, "reason")).value_or(account::RefusalReason::serverLost);
+    record.refusal.rule = textField(fields, "rule");
     record.refusal.figures = figuresFrom(fields[u"figures"].toString());
-    record.refusal.retryAfter = std::chrono::milliseconds{numberOf(fields, "retryAfterMs")};
-    record.refusal.configurationVersion = static_cast<std::uint64_t>(numberOf(fields, "configuration"));
-    record.verdict = verdictFromString(textOf(fields, "verdict")).value_or(Verdict::mayHaveRun);
-    record.service = textOf(fields, "service");
-    record.kind = textOf(fields, "kind");
-    record.priority = static_cast<int>(numberOf(fields, "priority"));
+    record.refusal.retryAfter = std::chrono::milliseconds{numberField(fields, "retryAfterMs")};
+    record.refusal.configurationVersion = static_cast<std::uint64_t>(numberField(fields, "configuration"));
+    record.verdict = verdictFromString(textField(fields, "verdict")).value_or(Verdict::mayHaveRun);
+    record.service = textField(fields, "service");
+    record.kind = textField(fields, "kind");
+    record.priority = static_cast<int>(numberField(fields, "priority"));
     record.worth = fields[u"worth"].toString().toDouble();
     const QDateTime time = QDateTime::fromString(QString::fromStdString(line.time), Qt::ISODateWithMs);
     record.time = WallTime{std::chrono::milliseconds{time.toMSecsSinceEpoch()}};
     return record;
 }
 
-[[nodiscard]] static std::string sentenceOf(const StoryLine &line)
+[[nodiscard]] static std::string sentenceOf(const RequestLogLine &line)
 {
-    const std::string server = textOf(line.fields, "server");
-    const std::string asked = server.empty() ? std::string{"no daemon was asked"} : fmt::format("daemon {} was asked last", server);
-    const std::string elapsed = textOf(line.fields, "elapsedMs");
+    const std::string server = textField(line.fields, "server");
+    const std::string lastDaemon = server.empty() ? std::string{"no daemon was asked"} : fmt::format("daemon {} was asked last", server);
+    const std::string elapsed = textField(line.fields, "elapsedMs");
     if (line.event == "refused") {
-        return fmt::format("{} That was {} ms after it came; {}.", account::toSentence(recordFrom(line)), elapsed, asked);
+        return fmt::format("{} That was {} ms after it came; {}.", account::toSentence(recordFrom(line)), elapsed, lastDaemon);
     }
     return fmt::format("{} {}/{}, {} ms after it came; {}: {}.",
                        line.event,
-                       textOf(line.fields, "service"),
-                       textOf(line.fields, "kind"),
+                       textField(line.fields, "service"),
+                       textField(line.fields, "kind"),
                        elapsed,
-                       asked,
-                       textOf(line.fields, "reason"));
+                       lastDaemon,
+                       textField(line.fields, "reason"));
 }
 
 } // namespace internal
 
-RequestStory::RequestStory(std::string request)
+RequestTimeline::RequestTimeline(std::string request)
     : m_request{std::move(request)}
 {
 }
 
-void RequestStory::take(const QJsonObject &fields)
+void RequestTimeline::processLine(const QJsonObject &fields)
 {
-    const std::string request = textOf(fields, "request");
-    if (isPart(request)) {
-        m_lines.push_back(
-            {.time = textOf(fields, "time"), .daemon = textOf(fields, "source"), .event = textOf(fields, "event"), .request = request, .fields = fields});
+    const std::string request = textField(fields, "request");
+    if (belongsToRequest(request)) {
+        m_lines.push_back({.time = textField(fields, "time"),
+                           .daemon = textField(fields, "source"),
+                           .event = textField(fields, "event"),
+                           .request = request,
+                           .fields = fields});
     }
 }
 
-std::vector<StoryLine> RequestStory::lines() const
+std::vector<RequestLogLine> RequestTimeline::lines() const
 {
-    std::vector<StoryLine> lines = m_lines;
+    std::vector<RequestLogLine> lines = m_lines;
     // Within a millisecond the end of an inner call comes before that of its request.
-    std::stable_sort(lines.begin(), lines.end(), [this](const StoryLine &one, const StoryLine &other) {
+    std::stable_sort(lines.begin(), lines.end(), [this](const RequestLogLine &one, const RequestLogLine &other) {
         return one.time != other.time ? one.time < other.time : depthOf(one.request) > depthOf(other.request);
     });
     return lines;
 }
 
-CommandResult RequestStory::inSentences() const
+CommandResult RequestTimeline::asText() const
 {
     std::string text;
-    for (const StoryLine &line : lines()) {
+    for (const RequestLogLine &line : lines()) {
         const std::size_t depth = depthOf(line.request);
         const std::string name = depth == 0 ? line.request : "inner call ..." + line.request.substr(line.request.rfind('.') + 1);
         text += fmt::format("{:{}}{} {}, {}: {}\n", "", depth * internal::indentWidth, line.time, line.daemon, name, internal::sentenceOf(line));
@@ -104,29 +107,29 @@
     if (m_lines.empty()) {
         text = fmt::format("no line tells of {}: it went well, or it never came to these daemons\n", m_request);
     }
-    text += missing();
+    text += describeGaps();
     return {.code = m_lines.empty() ? ExitCode::notFound : ExitCode::success, .text = std::move(text)};
 }
 
-CommandResult RequestStory::asJson() const
+CommandResult RequestTimeline::asJson() const
 {
-    QJsonArray told;
-    for (const StoryLine &line : lines()) {
+    QJsonArray array;
+    for (const RequestLogLine &line : lines()) {
         QJsonObject object = line.fields;
         object[u"depth"] = static_cast<qint64>(depthOf(line.request));
-        told.append(object);
+        array.append(object);
     }
-    QJsonObject document{{u"request"_qs, QString::fromStdString(m_request)}, {u"lines"_qs, told}};
-    addMissing(document);
+    QJsonObject document{{u"request"_qs, QString::fromStdString(m_request)}, {u"lines"_qs, array}};
+    addGapCounts(document);
     return {.code = m_lines.empty() ? ExitCode::notFound : ExitCode::success, .text = QJsonDocument{document}.toJson().toStdString()};
 }
 
-bool RequestStory::isPart(const std::string &request) const
+bool RequestTimeline::belongsToRequest(const std::string &request) const
 {
     return request == m_request || request.starts_with(m_request + ".");
 }
 
-std::size_t RequestStory::depthOf(const std::string &request) const
+std::size_t RequestTimeline::depthOf(const std::string &request) const
 {
     return static_cast<std::size_t>(std::count(request.begin() + static_cast<std::ptrdiff_t>(m_request.size()), request.end(), '.'));
 }
--- a/src/egretlatch/cli/request_story.hpp
+++ b/src/egretlatch/cli/request_timeline.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_CLI_REQUEST_STORY_HPP
-#define EGRETLATCH_CLI_REQUEST_STORY_HPP
+#ifndef EGRETLATCH_CLI_REQUEST_TIMELINE_HPP
+#define EGRETLATCH_CLI_REQUEST_TIMELINE_HPP
 
 #include <string>
 #include <vector>
@@ -14,7 +14,7 @@
 {
 
 /*! @brief One line of a daemon's log that tells of a request. */
-struct StoryLine
+struct RequestLogLine
 {
     /*! @brief Time as the line says it; texts of that form sort by time. */
     std::string time;
@@ -24,7 +24,7 @@
     std::string request;
     QJsonObject fields;
 
-    friend bool operator==(const StoryLine &, const StoryLine &) = default;
+    friend bool operator==(const RequestLogLine &, const RequestLogLine &) = default;
 };
 
 /**
@@ -32,26 +32,26 @@
  *
  * Lines may stand in any order, and what stands before the first brace of a line, as a collector's own stamp, is passed over.
  */
-class RequestStory : public LogReader
+class RequestTimeline : public LogReader
 {
 public:
     /**
      * @brief Begins with nothing.
      * @param request Name of the request; its inner calls belong to the story.
      */
-    explicit RequestStory(std::string request);
+    explicit RequestTimeline(std::string request);
 
     /**
      * @brief Gives the story in the order in which it happened.
      * @return The lines, of inner calls too.
      */
-    [[nodiscard]] std::vector<StoryLine> lines() const;
+    [[nodiscard]] std::vector<RequestLogLine> lines() const;
 
     /**
      * @brief Tells the story in sentences, inner calls set in under their request.
      * @return What to print; `notFound` if no line tells of the request, with what speaks for and against that it went well.
      */
-    [[nodiscard]] CommandResult inSentences() const;
+    [[nodiscard]] CommandResult asText() const;
 
     /**
      * @brief Tells the story as JSON.
@@ -60,12 +60,12 @@
     [[nodiscard]] CommandResult asJson() const;
 
 private:
-    void take(const QJsonObject &fields) override;
-    [[nodiscard]] bool isPart(const std::string &request) const;
+    void processLine(const QJsonObject &fields) override;
+    [[nodiscard]] bool belongsToRequest(const std::string &request) const;
     [[nodiscard]] std::size_t depthOf(const std::string &request) const;
 
     std::string m_request;
-    std::vector<StoryLine> m_lines;
+    std::vector<RequestLogLine> m_lines;
 };
 
 } // namespace egretlatch::cli
--- a/src/egretlatch/cli/sidecar_command.cpp
+++ b/src/egretlatch/cli/sidecar_command.cpp
@@ -55,7 +55,7 @@
     }
     // One heap for all threads: the few that Qt starts allocate little, and a heap of their own each would hold more than they use.
     mallopt(M_ARENA_MAX, 1);
-    const int signalDescriptor = openSignals({SIGTERM, SIGINT, SIGHUP});
+    const int signalDescriptor = openSignalDescriptor({SIGTERM, SIGINT, SIGHUP});
     QCoreApplication::setEventDispatcher(new net::EventDispatcher);
     QCoreApplication application{argc, argv};
     sidecar::Sidecar sidecar{*settings, [] {
--- a/src/egretlatch/cli/signal_descriptor.hpp
+++ b/src/egretlatch/cli/signal_descriptor.hpp
@@ -16,7 +16,7 @@
  * @param signals The signals.
  * @return The descriptor, which does not block.
  */
-[[nodiscard]] inline int openSignals(const std::initializer_list<int> signals)
+[[nodiscard]] inline int openSignalDescriptor(const std::initializer_list<int> signals)
 {
     sigset_t signalSet;
     sigemptyset(&signalSet);
--- a/src/egretlatch/cli/status_command.cpp
+++ b/src/egretlatch/cli/status_command.cpp
@@ -23,7 +23,7 @@
 constexpr double millisecondsPerSecond = 1000.0;
 
 /*! @brief One line of the table. */
-struct Line
+struct FleetRow
 {
     std::uint64_t version{};
     std::string hash;
@@ -31,54 +31,54 @@
     std::optional<std::chrono::milliseconds> age;
 };
 
-using Lines = std::map<DaemonId, Line>;
+using FleetRows = std::map<DaemonId, FleetRow>;
 
-static void addHeard(const configuration::Report &report, Lines &lines)
+static void addReported(const configuration::Report &report, FleetRows &rows)
 {
     for (const configuration::HeardVersion &heard : report.heard) {
-        Line &line = lines.try_emplace(heard.daemon, Line{.version = heard.version, .hash = {}, .age = heard.age}).first->second;
+        FleetRow &row = rows.try_emplace(heard.daemon, FleetRow{.version = heard.version, .hash = {}, .age = heard.age}).first->second;
         // Versions only rise, so the higher of two reports is the later one.
-        if (heard.version > line.version) {
-            line = {.version = heard.version, .hash = {}, .age = heard.age};
+        if (heard.version > row.version) {
+            row = {.version = heard.version, .hash = {}, .age = heard.age};
         }
     }
 }
 
-[[nodiscard]] static Lines collect(const std::vector<DaemonAnswer> &answers)
+[[nodiscard]] static FleetRows collect(const std::vector<DaemonAnswer> &answers)
 {
-    Lines lines;
+    FleetRows rows;
     for (const DaemonAnswer &answer : answers) {
         if (answer.report.has_value()) {
-            addHeard(*answer.report, lines);
+            addReported(*answer.report, rows);
         }
     }
     for (const DaemonAnswer &answer : answers) {
         if (answer.report.has_value()) {
-            lines[answer.report->daemon] = {.version = answer.report->version, .hash = answer.report->hash, .age = std::nullopt};
+            rows[answer.report->daemon] = {.version = answer.report->version, .hash = answer.report->hash, .age = std::nullopt};
         }
     }
-    return lines;
+    return rows;
 }
 
-[[nodiscard]] static std::uint64_t newestOf(const std::vector<DaemonAnswer> &answers, const Lines &lines)
+[[nodiscard]] static std::uint64_t newestVersion(const std::vector<DaemonAnswer> &answers, const FleetRows &rows)
 {
     std::uint64_t newest = 0;
     for (const DaemonAnswer &answer : answers) {
         newest = std::max(newest, answer.report.has_value() ? answer.report->newestKnown : 0);
     }
-    for (const auto &[daemon, line] : lines) {
-        newest = std::max(newest, line.version);
+    for (const auto &[daemon, row] : rows) {
+        newest = std::max(newest, row.version);
     }
     return newest;
 }
 
-[[nodiscard]] static std::string describe(const DaemonId &daemon, const Line &line, const std::uint64_t newest)
+[[nodiscard]] static std::string describe(const DaemonId &daemon, const FleetRow &row, const std::uint64_t newest)
 {
     const std::string source =
-        line.age.has_value() ? fmt::format("heard {:.1f} s ago", static_cast<double>(line.age->count()) / millisecondsPerSecond) : "answered";
-    const std::string lag = line.version < newest ? ", LAGS" : "";
-    const std::string hash = line.hash.empty() ? "-" : line.hash.substr(0, hashDigitsShown);
-    return fmt::format("{:<24} {:>8}  {:<12}  {}{}\n", daemon.value, line.version, hash, source, lag);
+        row.age.has_value() ? fmt::format("heard {:.1f} s ago", static_cast<double>(row.age->count()) / millisecondsPerSecond) : "answered";
+    const std::string lag = row.version < newest ? ", LAGS" : "";
+    const std::string hash = row.hash.empty() ? "-" : row.hash.substr(0, hashDigitsShown);
+    return fmt::format("{:<24} {:>8}  {:<12}  {}{}\n", daemon.value, row.version, hash, source, lag);
 }
 
 } // namespace internal
@@ -108,24 +108,24 @@
 
 CommandResult describeFleet(const std::vector<DaemonAnswer> &answers)
 {
-    const internal::Lines lines = internal::collect(answers);
-    const std::uint64_t newest = internal::newestOf(answers, lines);
+    const internal::FleetRows rows = internal::collect(answers);
+    const std::uint64_t newest = internal::newestVersion(answers, rows);
     std::string table;
     std::size_t current = 0;
-    for (const auto &[daemon, line] : lines) {
-        table += internal::describe(daemon, line, newest);
-        current += line.version == newest ? 1 : 0;
+    for (const auto &[daemon, row] : rows) {
+        table += internal::describe(daemon, row, newest);
+        current += row.version == newest ? 1 : 0;
     }
-    std::string text = fmt::format("version {} is in force on {} of {} known daemons\n", newest, current, lines.size());
+    std::string text = fmt::format("version {} is in force on {} of {} known daemons\n", newest, current, rows.size());
     text += fmt::format("{:<24} {:>8}  {:<12}  {}\n{}", "DAEMON", "VERSION", "HASH", "SOURCE", table);
-    bool areAllThere = current == lines.size();
+    bool isFleetCurrent = current == rows.size();
     for (const DaemonAnswer &answer : answers) {
         if (!answer.report.has_value()) {
             text += fmt::format("{} gave no status\n", answer.url);
-            areAllThere = false;
+            isFleetCurrent = false;
         }
     }
-    return {.code = areAllThere ? ExitCode::success : ExitCode::lagging, .text = std::move(text)};
+    return {.code = isFleetCurrent ? ExitCode::success : ExitCode::lagging, .text = std::move(text)};
 }
 
 int runStatus(const StatusOptions &options, int argc, char **argv)
--- a/src/egretlatch/cli/submit_command.cpp
+++ b/src/egretlatch/cli/submit_command.cpp
@@ -22,8 +22,8 @@
 using configuration::SubmissionRequest;
 using configuration::SubmissionResult;
 
-constexpr std::chrono::milliseconds firstWait{200};
-constexpr std::chrono::seconds longestWait{5};
+constexpr std::chrono::milliseconds initialBackoff{200};
+constexpr std::chrono::seconds maxBackoff{5};
 
 [[nodiscard]] static std::string describe(const Head &head)
 {
@@ -70,7 +70,7 @@
     return {.code = ExitCode::badInput, .text = "refused: the platform does not accept the token, or does not understand the request\n"};
 }
 
-[[nodiscard]] static CommandResult describeGivenUp(const SubmissionRequest &request, const bool isUnsure, const std::string &reason)
+[[nodiscard]] static CommandResult describeUnfinished(const SubmissionRequest &request, const bool isUnsure, const std::string &reason)
 {
     if (!isUnsure) {
         return {.code = ExitCode::unavailable, .text = fmt::format("not submitted: {}; nothing was changed\n", reason)};
@@ -82,10 +82,10 @@
 
 } // namespace internal
 
-CommandResult submit(const configuration::SubmissionRequest &request, PlatformPort &port, RandomSource &random, const Duration patience)
+CommandResult submit(const configuration::SubmissionRequest &request, PlatformPort &port, RandomSource &random, const Duration maxWait)
 {
     configuration::Submission submission{request};
-    store::Backoff backoff{internal::firstWait, internal::longestWait};
+    store::Backoff backoff{internal::initialBackoff, internal::maxBackoff};
     Duration waited{};
     while (true) {
         const store::Outcome outcome = port.ask(submission.request());
@@ -96,8 +96,8 @@
         if (step == configuration::SubmissionStep::ask) {
             continue;
         }
-        if (waited >= patience) {
-            return internal::describeGivenUp(request, submission.isUnsure(), outcome.has_value() ? "an odd answer" : outcome.error().message);
+        if (waited >= maxWait) {
+            return internal::describeUnfinished(request, submission.isUnsure(), outcome.has_value() ? "an odd answer" : outcome.error().message);
         }
         const Duration wait = backoff.next(random);
         waited += wait;
--- a/src/egretlatch/cli/submit_command.hpp
+++ b/src/egretlatch/cli/submit_command.hpp
@@ -47,10 +47,10 @@
  * @param request What is submitted.
  * @param port The platform.
  * @param random Source of jitter.
- * @param patience Longest time to spend on waits between attempts.
+ * @param maxWait Longest time to spend on waits between attempts.
  * @return What to tell the operator.
  */
-[[nodiscard]] CommandResult submit(const configuration::SubmissionRequest &request, PlatformPort &port, RandomSource &random, Duration patience);
+[[nodiscard]] CommandResult submit(const configuration::SubmissionRequest &request, PlatformPort &port, RandomSource &random, Duration maxWait);
 
 /**
  * @brief Opens the platform.
--- a/src/egretlatch/daemon/caller_server.cpp
+++ b/src/egretlatch/daemon/caller_server.cpp
@@ -23,8 +23,8 @@
 constexpr QLatin1String callPrefix{"/call/"};
 constexpr QLatin1String keysPrefix{"/keys/"};
 constexpr QLatin1String backendPrefix{"/backend/"};
-constexpr settings::Range<std::int64_t> slotsRange{.least = 1, .most = 10'000};
-constexpr settings::Range<std::int64_t> connectionsRange{.least = 1, .most = 100'000};
+constexpr settings::Range<std::int64_t> slotsRange{.min = 1, .max = 10'000};
+constexpr settings::Range<std::int64_t> connectionsRange{.min = 1, .max = 100'000};
 
 [[nodiscard]] static std::string methodName(const QHttpServerRequest::Method method)
 {
--- a/src/egretlatch/manifest/call_graph.cpp
+++ b/src/egretlatch/manifest/call_graph.cpp
@@ -15,9 +15,9 @@
 namespace internal
 {
 
-[[nodiscard]] static bool reaches(const Manifest &manifest, const KindName &from, const KindName &goal, std::set<KindName> &seen)
+[[nodiscard]] static bool reaches(const Manifest &manifest, const KindName &from, const KindName &target, std::set<KindName> &visited)
 {
-    if (!seen.insert(from).second) {
+    if (!visited.insert(from).second) {
         return false;
     }
     const KindSpec *const kind = manifest.findKind(from.first, from.second);
@@ -26,14 +26,14 @@
     }
     for (const InnerCall &call : kind->calls) {
         const KindName next{call.service, call.kind};
-        if (next == goal || reaches(manifest, next, goal, seen)) {
+        if (next == target || reaches(manifest, next, target, visited)) {
             return true;
         }
     }
     return false;
 }
 
-static void warn(settings::Problems &problems, std::string pointer, std::string found, std::string allowed)
+static void addWarning(settings::Problems &problems, std::string pointer, std::string found, std::string allowed)
 {
     problems.push_back({.severity = settings::Severity::warning, .pointer = std::move(pointer), .found = std::move(found), .allowed = std::move(allowed)});
 }
@@ -50,7 +50,7 @@
         } else if (callee->deadline > kind.deadline) {
             const std::string found =
                 fmt::format("{} ms, shorter than the {} ms of {}/{}", kind.deadline.count(), callee->deadline.count(), call.service, call.kind);
-            warn(problems, pointer + "/deadlineMs", found, "at least the deadline of each kind it calls");
+            addWarning(problems, pointer + "/deadlineMs", found, "at least the deadline of each kind it calls");
         }
     }
 }
@@ -61,7 +61,7 @@
 [[nodiscard]] static std::chrono::milliseconds totalCost(const Manifest &manifest, const KindName &name, Totals &totals)
 {
     // Beyond any deadline, and small enough that no sum of calls overflows.
-    constexpr std::chrono::milliseconds most{std::chrono::hours{24}};
+    constexpr std::chrono::milliseconds maxTotal{std::chrono::hours{24}};
     const KindSpec *const kind = manifest.findKind(name.first, name.second);
     const auto [entry, isNew] = totals.try_emplace(name, std::chrono::milliseconds{0});
     if (kind == nullptr || !isNew) {
@@ -69,7 +69,7 @@
     }
     std::chrono::milliseconds total = kind->cost;
     for (const InnerCall &call : kind->calls) {
-        total = std::min(most, total + call.count * totalCost(manifest, {call.service, call.kind}, totals));
+        total = std::min(maxTotal, total + call.count * totalCost(manifest, {call.service, call.kind}, totals));
     }
     totals[name] = total;
     return total;
@@ -80,7 +80,7 @@
     for (const KindSpec &kind : service.kinds) {
         if (service.queueTarget >= kind.deadline) {
             const std::string found = fmt::format("{} ms, not below the {} ms deadline of {}", service.queueTarget.count(), kind.deadline.count(), kind.name);
-            warn(problems, pointer + "/queueTargetMs", found, "less than the deadline of each kind");
+            addWarning(problems, pointer + "/queueTargetMs", found, "less than the deadline of each kind");
         }
     }
 }
@@ -88,13 +88,13 @@
 static void checkKind(const Manifest &manifest, const ServiceSpec &service, const KindSpec &kind, const std::string &pointer, settings::Problems &problems)
 {
     checkCalls(manifest, kind, pointer, problems);
-    std::set<KindName> seen;
+    std::set<KindName> visited;
     const KindName self{service.name, kind.name};
-    if (reaches(manifest, self, self, seen)) {
-        warn(problems, pointer + "/calls", "a cycle back to this kind", "calls that end");
+    if (reaches(manifest, self, self, visited)) {
+        addWarning(problems, pointer + "/calls", "a cycle back to this kind", "calls that end");
     }
     if (kind.cost > kind.deadline) {
-        warn(problems, pointer + "/costMs", fmt::format("{} ms, beyond the deadline", kind.cost.count()), "at most the deadline");
+        addWarning(problems, pointer + "/costMs", fmt::format("{} ms, beyond the deadline", kind.cost.count()), "at most the deadline");
         return;
     }
     Totals totals;
@@ -102,7 +102,7 @@
     if (total > kind.deadline) {
         const std::string found =
             fmt::format("{} ms, less than the {} ms that the run and its calls cost one after the other", kind.deadline.count(), total.count());
-        warn(problems, pointer + "/deadlineMs", found, "at least the cost of the whole tree");
+        addWarning(problems, pointer + "/deadlineMs", found, "at least the cost of the whole tree");
     }
 }
 
--- a/src/egretlatch/manifest/manifest.cpp
+++ b/src/egretlatch/manifest/manifest.cpp
@@ -9,7 +9,7 @@
 namespace internal
 {
 
-[[nodiscard]] static std::string placeKey(const std::string_view host, const std::string_view prefix)
+[[nodiscard]] static std::string routeKey(const std::string_view host, const std::string_view prefix)
 {
     std::string key;
     key.reserve(host.size() + 1 + prefix.size());
@@ -44,8 +44,8 @@
 
 const KindSpec *Manifest::findKind(const std::string_view service, const std::string_view kind) const noexcept
 {
-    const auto found = m_kindPlaces.find(internal::kindKey(service, kind));
-    return found == m_kindPlaces.end() ? nullptr : &m_services[found->second.first].kinds[found->second.second];
+    const auto found = m_kindIndices.find(internal::kindKey(service, kind));
+    return found == m_kindIndices.end() ? nullptr : &m_services[found->second.first].kinds[found->second.second];
 }
 
 const RouteSpec *Manifest::findRoute(const std::string_view host, const std::string_view path) const
@@ -53,8 +53,8 @@
     // Prefixes end with a slash, so only the places of slashes can end one; the last is tried first.
     std::size_t slash = path.rfind('/');
     while (slash != std::string_view::npos) {
-        const auto found = m_routePlaces.find(internal::placeKey(host, path.substr(0, slash + 1)));
-        if (found != m_routePlaces.end()) {
+        const auto found = m_routeIndices.find(internal::routeKey(host, path.substr(0, slash + 1)));
+        if (found != m_routeIndices.end()) {
             return &m_routes[found->second];
         }
         if (slash == 0) {
@@ -95,12 +95,12 @@
     manifest.m_services = m_services;
     for (std::size_t service = 0; service < m_services.size(); ++service) {
         for (std::size_t kind = 0; kind < m_services[service].kinds.size(); ++kind) {
-            manifest.m_kindPlaces.emplace(internal::kindKey(m_services[service].name, m_services[service].kinds[kind].name), std::pair{service, kind});
+            manifest.m_kindIndices.emplace(internal::kindKey(m_services[service].name, m_services[service].kinds[kind].name), std::pair{service, kind});
         }
     }
     manifest.m_routes = m_routes;
-    for (std::size_t place = 0; place < m_routes.size(); ++place) {
-        manifest.m_routePlaces.emplace(internal::placeKey(m_routes[place].host, m_routes[place].prefix), place);
+    for (std::size_t index = 0; index < m_routes.size(); ++index) {
+        manifest.m_routeIndices.emplace(internal::routeKey(m_routes[index].host, m_routes[index].prefix), index);
     }
     manifest.m_callerLimits = m_callerLimits;
     manifest.m_hash = m_hash;
--- a/src/egretlatch/manifest/manifest.hpp
+++ b/src/egretlatch/manifest/manifest.hpp
@@ -84,9 +84,9 @@
     std::vector<ServiceSpec> m_services;
     std::vector<RouteSpec> m_routes;
     /*! @brief Place in m_routes by host and prefix; with many routes a walk over all would cost each request its time. */
-    std::unordered_map<std::string, std::size_t> m_routePlaces;
+    std::unordered_map<std::string, std::size_t> m_routeIndices;
     /*! @brief Places in m_services and in the service's kinds, by the names of both. */
-    std::unordered_map<std::string, std::pair<std::size_t, std::size_t>> m_kindPlaces;
+    std::unordered_map<std::string, std::pair<std::size_t, std::size_t>> m_kindIndices;
     CallerLimits m_callerLimits;
     std::string m_hash;
 };
--- a/src/egretlatch/settings/json_object_reader.cpp
+++ b/src/egretlatch/settings/json_object_reader.cpp
@@ -91,9 +91,9 @@
     m_problems.push_back({.severity = severity, .pointer = pointerTo(key), .found = std::move(found), .allowed = std::move(allowed)});
 }
 
-QJsonValue JsonObjectReader::take(const std::string_view key, const bool required, const std::string &allowed)
+QJsonValue JsonObjectReader::readMember(const std::string_view key, const bool required, const std::string &allowed)
 {
-    m_asked.emplace(key);
+    m_readKeys.emplace(key);
     const auto found = m_object.constFind(toQt(key));
     if (found != m_object.constEnd()) {
         return found.value();
@@ -107,7 +107,7 @@
 std::string JsonObjectReader::text(const std::string_view key, const std::optional<std::string> &fallback)
 {
     const std::string allowed = "text";
-    const QJsonValue value = take(key, !fallback.has_value(), allowed);
+    const QJsonValue value = readMember(key, !fallback.has_value(), allowed);
     if (value.isUndefined()) {
         return fallback.value_or("");
     }
@@ -122,50 +122,50 @@
     return result;
 }
 
-std::string JsonObjectReader::word(const std::string_view key, const std::vector<std::string> &words, const std::optional<std::string> &fallback)
+std::string JsonObjectReader::choice(const std::string_view key, const std::vector<std::string> &choices, const std::optional<std::string> &fallback)
 {
-    const std::string allowed = fmt::format("one of {}", fmt::join(words, ", "));
-    const QJsonValue value = take(key, !fallback.has_value(), allowed);
+    const std::string allowed = fmt::format("one of {}", fmt::join(choices, ", "));
+    const QJsonValue value = readMember(key, !fallback.has_value(), allowed);
     if (value.isUndefined()) {
-        return fallback.value_or(words.front());
+        return fallback.value_or(choices.front());
     }
     std::string result = value.toString().toStdString();
-    if (std::find(words.begin(), words.end(), result) == words.end()) {
+    if (std::find(choices.begin(), choices.end(), result) == choices.end()) {
         report(key, describe(value), allowed);
-        return words.front();
+        return choices.front();
     }
     return result;
 }
 
 std::int64_t JsonObjectReader::integer(const std::string_view key, const Range<std::int64_t> range, const std::optional<std::int64_t> fallback)
 {
-    const std::string allowed = fmt::format("a whole number from {} to {}", range.least, range.most);
-    const QJsonValue value = take(key, !fallback.has_value(), allowed);
+    const std::string allowed = fmt::format("a whole number from {} to {}", range.min, range.max);
+    const QJsonValue value = readMember(key, !fallback.has_value(), allowed);
     if (value.isUndefined()) {
-        return fallback.value_or(range.least);
+        return fallback.value_or(range.min);
     }
     const double number = value.toDouble(std::nan(""));
     const bool isWhole = value.isDouble() && std::floor(number) == number;
-    const bool isInRange = isWhole && number >= static_cast<double>(range.least) && number <= static_cast<double>(range.most);
+    const bool isInRange = isWhole && number >= static_cast<double>(range.min) && number <= static_cast<double>(range.max);
     if (!isInRange) {
         report(key, describe(value), allowed);
-        return range.least;
+        return range.min;
     }
     return static_cast<std::int64_t>(number);
 }
 
 double JsonObjectReader::number(const std::string_view key, const Range<double> range, const std::optional<double> fallback)
 {
-    const std::string allowed = fmt::format("a number from {} to {}", range.least, range.most);
-    const QJsonValue value = take(key, !fallback.has_value(), allowed);
+    const std::string allowed = fmt::format("a number from {} to {}", range.min, range.max);
+    const QJsonValue value = readMember(key, !fallback.has_value(), allowed);
     if (value.isUndefined()) {
-        return fallback.value_or(range.least);
+        return fallback.value_or(range.min);
     }
     const double result = value.toDouble(std::nan(""));
-    const bool isInRange = value.isDouble() && result >= range.least && result <= range.most;
+    const bool isInRange = value.isDouble() && result >= range.min && result <= range.max;
     if (!isInRange) {
         report(key, describe(value), allowed);
-        return range.least;
+        return range.min;
     }
     return result;
 }
@@ -173,7 +173,7 @@
 bool JsonObjectReader::flag(const std::string_view key, const std::optional<bool> fallback)
 {
     const std::string allowed = "true or false";
-    const QJsonValue value = take(key, !fallback.has_value(), allowed);
+    const QJsonValue value = readMember(key, !fallback.has_value(), allowed);
     if (value.isUndefined()) {
         return fallback.value_or(false);
     }
@@ -192,7 +192,7 @@
 
 void JsonObjectReader::list(const std::string_view key, const bool required, const ElementReader &read)
 {
-    const QJsonValue value = take(key, required, "a list");
+    const QJsonValue value = readMember(key, required, "a list");
     if (value.isUndefined()) {
         return;
     }
@@ -210,7 +210,7 @@
 
 std::optional<QJsonValue> JsonObjectReader::member(const std::string_view key)
 {
-    const QJsonValue value = take(key, false, "an object");
+    const QJsonValue value = readMember(key, false, "an object");
     if (value.isUndefined()) {
         return std::nullopt;
     }
@@ -221,8 +221,8 @@
 {
     for (auto member = m_object.constBegin(); member != m_object.constEnd(); ++member) {
         const std::string key = member.key().toStdString();
-        if (!m_asked.contains(key)) {
-            report(key, "an unknown key", fmt::format("one of {}", fmt::join(m_asked, ", ")));
+        if (!m_readKeys.contains(key)) {
+            report(key, "an unknown key", fmt::format("one of {}", fmt::join(m_readKeys, ", ")));
         }
     }
 }
--- a/src/egretlatch/settings/json_object_reader.hpp
+++ b/src/egretlatch/settings/json_object_reader.hpp
@@ -21,8 +21,8 @@
 template<typename Number>
 struct Range
 {
-    Number least{};
-    Number most{};
+    Number min{};
+    Number max{};
 };
 
 /**
@@ -59,7 +59,7 @@
      * @param fallback Value if it is missing; without one, the member is required.
      * @return The word, or the first allowed one if it is wrong.
      */
-    [[nodiscard]] std::string word(std::string_view key, const std::vector<std::string> &words, const std::optional<std::string> &fallback = std::nullopt);
+    [[nodiscard]] std::string choice(std::string_view key, const std::vector<std::string> &choices, const std::optional<std::string> &fallback = std::nullopt);
 
     /**
      * @brief Reads a whole number.
@@ -131,12 +131,12 @@
     void report(std::string_view key, std::string found, std::string allowed, Severity severity = Severity::error);
 
 private:
-    [[nodiscard]] QJsonValue take(std::string_view key, bool required, const std::string &allowed);
+    [[nodiscard]] QJsonValue readMember(std::string_view key, bool required, const std::string &allowed);
 
     QJsonObject m_object;
     std::string m_pointer;
     Problems &m_problems;
-    std::set<std::string> m_asked;
+    std::set<std::string> m_readKeys;
     bool m_isObject;
 };
 
--- a/src/egretlatch/settings/peer_keys.cpp
+++ b/src/egretlatch/settings/peer_keys.cpp
@@ -5,7 +5,7 @@
 namespace egretlatch::settings
 {
 
-bool isKeyText(const std::string &text) noexcept
+bool isValidKey(const std::string &text) noexcept
 {
     constexpr std::size_t keyLength = 40;
     constexpr std::string_view z85Alphabet = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ.-:+=^!/*?&<>()[]{}@%$#";
--- a/src/egretlatch/settings/peer_keys.hpp
+++ b/src/egretlatch/settings/peer_keys.hpp
@@ -23,7 +23,7 @@
  * @param text Any text.
  * @return True for 40 characters of the Z85 alphabet.
  */
-[[nodiscard]] bool isKeyText(const std::string &text) noexcept;
+[[nodiscard]] bool isValidKey(const std::string &text) noexcept;
 
 } // namespace egretlatch::settings
 
--- a/src/egretlatch/sidecar/adaptive_options.cpp
+++ b/src/egretlatch/sidecar/adaptive_options.cpp
@@ -13,10 +13,10 @@
 
 } // namespace internal
 
-daemon::AdaptiveOptions adaptiveOptions(const settings::SwitchedOff &switchedOff)
+daemon::AdaptiveOptions adaptiveOptions(const settings::DisabledMechanisms &disabledMechanisms)
 {
-    const auto has = [&switchedOff](const settings::Mechanism mechanism) {
-        return !switchedOff.contains(mechanism);
+    const auto has = [&disabledMechanisms](const settings::Mechanism mechanism) {
+        return !disabledMechanisms.contains(mechanism);
     };
     using settings::Mechanism;
     daemon::AdaptiveOptions options;
--- a/src/egretlatch/sidecar/adaptive_options.hpp
+++ b/src/egretlatch/sidecar/adaptive_options.hpp
@@ -12,7 +12,7 @@
  * @param switchedOff What an experiment does without.
  * @return The options of the adaptive policy.
  */
-[[nodiscard]] daemon::AdaptiveOptions adaptiveOptions(const settings::SwitchedOff &switchedOff);
+[[nodiscard]] daemon::AdaptiveOptions adaptiveOptions(const settings::DisabledMechanisms &disabledMechanisms);
 
 } // namespace egretlatch::sidecar
 
--- a/src/egretlatch/sidecar/sidecar.cpp
+++ b/src/egretlatch/sidecar/sidecar.cpp
@@ -141,13 +141,13 @@
         .afterSignal = leavingTimesOf(m_bounds.grace, {}).notice,
         .lastStart = internal::lastStartShare * m_bounds.drain / internal::hundredths,
     });
-    daemon::applyPolicy(m_settings.policy, m_random, builder, adaptiveOptions(m_settings.switchedOff));
+    daemon::applyPolicy(m_settings.policy, m_random, builder, adaptiveOptions(m_settings.disabledMechanisms));
     return builder.build();
 }
 
 double Sidecar::usedShareOfRetries() const
 {
-    return m_settings.switchedOff.contains(settings::Mechanism::retries) ? 0.0 : internal::usedShareOfRetries;
+    return m_settings.disabledMechanisms.contains(settings::Mechanism::retries) ? 0.0 : internal::usedShareOfRetries;
 }
 
 Result<void> Sidecar::start()
@@ -155,7 +155,7 @@
     if (Result<void> listening = listen(); !listening.has_value()) {
         return listening;
     }
-    m_front.setOverlap(!m_settings.switchedOff.contains(settings::Mechanism::overlap));
+    m_front.setOverlap(!m_settings.disabledMechanisms.contains(settings::Mechanism::overlap));
     m_startedAt = m_clock.steadyNow();
     m_houseTimer.start();
     m_feed.tick();
--- a/test/egretlatch/cli/loss_table.cpp
+++ b/test/egretlatch/cli/loss_table.cpp
@@ -25,12 +25,12 @@
     LossTable table{std::chrono::seconds{10}};
     table.read(refused("01.000", "read", "1", 0) + refused("09.999", "read", "1", 0) + refused("05.000", "entry", "3", 0) + refused("10.000", "read", "1", 0));
 
-    const CommandResult told = table.asText();
+    const CommandResult result = table.asText();
 
-    CHECK(told.code == ExitCode::success);
-    const auto entry = told.text.find("2026-12-02T10:00:00Z        1      3.0  roster/entry");
-    const auto read = told.text.find("2026-12-02T10:00:00Z        2      2.0  roster/read");
-    const auto later = told.text.find("2026-12-02T10:00:10Z        1      1.0  roster/read");
+    CHECK(result.code == ExitCode::success);
+    const auto entry = result.text.find("2026-12-02T10:00:00Z        1      3.0  roster/entry");
+    const auto read = result.text.find("2026-12-02T10:00:00Z        2      2.0  roster/read");
+    const auto later = result.text.find("2026-12-02T10:00:10Z        1      1.0  roster/read");
     CHECK(entry != std::string::npos);
     CHECK(read != std::string::npos);
     CHECK(later != std::string::npos);
--- a/test/egretlatch/cli/request_story.cpp
+++ b/test/egretlatch/cli/request_timeline.cpp
@@ -5,7 +5,7 @@
 #include <QJsonDocument>
 
 #include <egretlatch/cli/exit_code.hpp>
-#include <egretlatch/cli/request_story.hpp>
+#include <egretlatch/cli/request_timeline.hpp>
 
 using namespace egretlatch::cli;
 
@@ -20,7 +20,7 @@
     R"line({"time":"2026-12-02T10:00:01.500Z","level":"info","source":"history-1","event":"refused","request":"r1.ab","service":"roster","kind":"winch",)line"
     R"line("priority":"2","worth":"0","reason":"overload-in-queue","rule":"gave way in the queue (daemon roster-0)","server":"roster-0",)line"
     R"line("elapsedMs":"80","figures":"queued=7 limit=11","verdict":"not-run","retryAfterMs":"200","configuration":"7"})line";
-constexpr const char *noteLine =
+constexpr const char *resendLine =
     R"line(  12.5 history-1 {"time":"2026-12-02T10:00:01.100Z","level":"info","source":"history-1","event":"sent again","request":"r1.ab","service":"roster",)line"
     R"line("kind":"winch","server":"roster-1","reason":"status 500","elapsedMs":"3"})line";
 constexpr const char *otherLine = R"line({"time":"2026-12-02T10:00:01.000Z","source":"history-0","event":"refused","request":"r11","reason":"no-server"})line";
@@ -38,33 +38,33 @@
 
 TEST_CASE("a story holds a request and its inner calls in the order in which they ended, from logs in any order")
 {
-    RequestStory story{"r1"};
-    story.read(logOf({entryLine, otherLine}));
-    story.read(logOf({innerLine, noteLine}));
+    RequestTimeline timeline{"r1"};
+    timeline.read(logOf({entryLine, otherLine}));
+    timeline.read(logOf({innerLine, resendLine}));
 
-    const std::vector<StoryLine> lines = story.lines();
+    const std::vector<RequestLogLine> lines = timeline.lines();
 
     REQUIRE(lines.size() == 3);
     CHECK(lines[0].event == "sent again");
     CHECK(lines[1].request == "r1.ab");
     CHECK(lines[2].request == "r1");
-    const CommandResult told = story.inSentences();
-    CHECK(told.code == ExitCode::success);
-    CHECK(told.text.find("    2026-12-02T10:00:01.500Z history-1, inner call ...ab: A request roster/winch was refused") != std::string::npos);
-    CHECK(told.text.find("queued") != std::string::npos);
-    CHECK(told.text.find("That was 1200 ms after it came; daemon history-1 was asked last.") != std::string::npos);
-    CHECK(QJsonDocument::fromJson(QByteArray::fromStdString(story.asJson().text))["lines"].toArray().size() == 3);
+    const CommandResult result = timeline.asText();
+    CHECK(result.code == ExitCode::success);
+    CHECK(result.text.find("    2026-12-02T10:00:01.500Z history-1, inner call ...ab: A request roster/winch was refused") != std::string::npos);
+    CHECK(result.text.find("queued") != std::string::npos);
+    CHECK(result.text.find("That was 1200 ms after it came; daemon history-1 was asked last.") != std::string::npos);
+    CHECK(QJsonDocument::fromJson(QByteArray::fromStdString(timeline.asJson().text))["lines"].toArray().size() == 3);
 }
 
 TEST_CASE("a request of which no line tells went well, unless lines are missing")
 {
-    RequestStory story{"r2"};
-    story.read(logOf({entryLine, "not a log line", R"line({"time":"2026-12-02T10:00:02.000Z","event":"lines left out","of":"refused","count":"12"})line"}));
+    RequestTimeline timeline{"r2"};
+    timeline.read(logOf({entryLine, "not a log line", R"line({"time":"2026-12-02T10:00:02.000Z","event":"lines left out","of":"refused","count":"12"})line"}));
 
-    const CommandResult told = story.inSentences();
+    const CommandResult result = timeline.asText();
 
-    CHECK(told.code == ExitCode::notFound);
-    CHECK(told.text
+    CHECK(result.code == ExitCode::notFound);
+    CHECK(result.text
           == "no line tells of r2: it went well, or it never came to these daemons\n"
              "not whole: these logs say that 12 lines were left out\n"
              "not whole: 1 lines could not be read\n");
@@ -73,8 +73,8 @@
 TEST_CASE("any bytes can be read as a log")
 {
     rc::check([](const std::string &bytes) {
-        RequestStory story{"r1"};
-        story.read(QByteArray::fromStdString(bytes));
-        RC_ASSERT(story.inSentences().code == ExitCode::notFound);
+        RequestTimeline timeline{"r1"};
+        timeline.read(QByteArray::fromStdString(bytes));
+        RC_ASSERT(timeline.asText().code == ExitCode::notFound);
     });
 }
--- a/test/egretlatch/cli/sessions.cpp
+++ b/test/egretlatch/cli/sessions.cpp
@@ -139,13 +139,13 @@
     }
     fakes::FakePlatformPort port{session.store};
     const std::string id = refusal.refusal.id.toString();
-    session.print("explain " + id, cli::explainOne(refusal.refusal.id, port, session.random, false));
-    session.print("explain --json " + id, cli::explainOne(refusal.refusal.id, port, session.random, true));
+    session.print("explain " + id, cli::explainRefusal(refusal.refusal.id, port, session.random, false));
+    session.print("explain --json " + id, cli::explainRefusal(refusal.refusal.id, port, session.random, true));
     const Uuid missing = session.mint.mint(session.clock.wallNow());
-    session.print("explain " + missing.toString(), cli::explainOne(missing, port, session.random, false));
-    const cli::AccountSpan span{.since = start, .until = session.clock.wallNow() + std::chrono::minutes{1}, .kind = {}};
-    session.print("explain --since 2026-09-21T14:13:20Z", cli::explainSpan(span, port, session.random));
-    const cli::AccountSpan ofKind{.since = span.since, .until = span.until, .kind = "launch-log/launch-entry"};
-    session.print("explain --since 2026-09-21T14:13:20Z --kind launch-log/launch-entry", cli::explainSpan(ofKind, port, session.random));
+    session.print("explain " + missing.toString(), cli::explainRefusal(missing, port, session.random, false));
+    const cli::RefusalQuery query{.since = start, .until = session.clock.wallNow() + std::chrono::minutes{1}, .kind = {}};
+    session.print("explain --since 2026-09-21T14:13:20Z", cli::summarizeRefusals(query, port, session.random));
+    const cli::RefusalQuery ofKind{.since = query.since, .until = query.until, .kind = "launch-log/launch-entry"};
+    session.print("explain --since 2026-09-21T14:13:20Z --kind launch-log/launch-entry", cli::summarizeRefusals(ofKind, port, session.random));
     fakes::checkGolden("explain.txt", session.text);
 }
--- a/test/egretlatch/manifest/parse_manifest.cpp
+++ b/test/egretlatch/manifest/parse_manifest.cpp
@@ -77,7 +77,7 @@
 {
     CHECK(rc::check([](const std::string &text) {
         const auto parsed = parseManifest(QByteArray::fromStdString(text));
-        const bool isTold = parsed.has_value() || settings::hasError(parsed.error());
-        RC_ASSERT(isTold);
+        const bool hasResultOrError = parsed.has_value() || settings::hasError(parsed.error());
+        RC_ASSERT(hasResultOrError);
     }));
 }
--- a/test/egretlatch/settings/daemon_settings.cpp
+++ b/test/egretlatch/settings/daemon_settings.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-[[nodiscard]] bool complainsAbout(const Problems &problems, const std::string &pointer)
+[[nodiscard]] bool hasProblemAt(const Problems &problems, const std::string &pointer)
 {
     return std::any_of(problems.begin(), problems.end(), [&pointer](const Problem &problem) {
         return problem.pointer == pointer;
@@ -46,7 +46,7 @@
     const auto off = parseDaemonSettings(start + R"(, "peerEncryption": "off"})");
 
     REQUIRE_FALSE(silent.has_value());
-    CHECK(complainsAbout(silent.error(), "/peerKeys"));
+    CHECK(hasProblemAt(silent.error(), "/peerKeys"));
     REQUIRE(off.has_value());
     CHECK_FALSE(off->peerKeys.has_value());
 }
@@ -62,7 +62,7 @@
     REQUIRE_FALSE(settings.has_value());
     for (const char *const pointer : {"/peerKeys/publicKey", "/peerKeys/secretKey", "/peerKeys/accepted"}) {
         CAPTURE(pointer);
-        CHECK(complainsAbout(settings.error(), pointer));
+        CHECK(hasProblemAt(settings.error(), pointer));
     }
     for (const Problem &problem : settings.error()) {
         CHECK(problem.found.find("abcdefghij") == std::string::npos);
@@ -80,7 +80,7 @@
     for (const char *const pointer :
          {"/id", "/dataCentre", "/callerPort", "/backendUrl", "/policy", "/colour", "/peers/0/endpoint", "/peers/1", "/listenAddress"}) {
         CAPTURE(pointer);
-        CHECK(complainsAbout(settings.error(), pointer));
+        CHECK(hasProblemAt(settings.error(), pointer));
     }
 }
 
@@ -96,7 +96,7 @@
 {
     CHECK(rc::check([](const std::string &text) {
         const auto settings = parseDaemonSettings(QByteArray::fromStdString(text));
-        const bool isTold = settings.has_value() || hasError(settings.error());
-        RC_ASSERT(isTold);
+        const bool hasResultOrError = settings.has_value() || hasError(settings.error());
+        RC_ASSERT(hasResultOrError);
     }));
 }
--- a/test/egretlatch/settings/sidecar_settings.cpp
+++ b/test/egretlatch/settings/sidecar_settings.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-const QByteArray good{
+const QByteArray validJson{
     R"({"id":"n-1","region":"r","dataCentre":"z","service":"roster","address":"10.0.0.1","callers":"10.0.0.1:1","readiness":"10.0.0.1:2",)"
     R"("serverReports":"10.0.0.1:3","backend":"10.0.0.1:4","store":"10.0.0.9:5","peerPorts":[7620,7635],"bounds":{"grace":"6s","budget_slack":47},"new":1})"};
 
@@ -26,7 +26,7 @@
 
 TEST_CASE("settings of a VM are read, and fields that are new are passed over")
 {
-    const auto settings = settings::parseSidecarSettings(good);
+    const auto settings = settings::parseSidecarSettings(validJson);
     REQUIRE(settings.has_value());
     CHECK(settings->callers == net::Endpoint{.address = "10.0.0.1", .port = 1});
     CHECK(settings->peerPort == 7620);
@@ -36,27 +36,28 @@
 
 TEST_CASE("an address that stands in front of the one for other daemons is announced in its place")
 {
-    CHECK(!settings::parseSidecarSettings(good)->announcedPeer.has_value());
-    const QByteArray relayed = QByteArray{good}.replace(R"("new":1)", R"("announcedPeer":"10.0.0.7:99")");
+    CHECK(!settings::parseSidecarSettings(validJson)->announcedPeer.has_value());
+    const QByteArray relayed = QByteArray{validJson}.replace(R"("new":1)", R"("announcedPeer":"10.0.0.7:99")");
     CHECK(settings::parseSidecarSettings(relayed)->announcedPeer == net::Endpoint{.address = "10.0.0.7", .port = 99});
-    CHECK(hasProblemAt(QByteArray{good}.replace(R"("new":1)", R"("announcedPeer":"elsewhere")"), "/announcedPeer"));
+    CHECK(hasProblemAt(QByteArray{validJson}.replace(R"("new":1)", R"("announcedPeer":"elsewhere")"), "/announcedPeer"));
 }
 
 TEST_CASE("an experiment names what it does without, and a name that is none is told")
 {
-    CHECK(settings::parseSidecarSettings(good)->switchedOff.empty());
-    const QByteArray without = QByteArray{good}.replace(R"("new":1)", R"("switchedOff":["whole-costs","retries"])");
-    CHECK(settings::parseSidecarSettings(without)->switchedOff == settings::SwitchedOff{settings::Mechanism::wholeCosts, settings::Mechanism::retries});
-    CHECK(hasProblemAt(QByteArray{good}.replace(R"("new":1)", R"("switchedOff":["everything"])"), "/switchedOff"));
+    CHECK(settings::parseSidecarSettings(validJson)->disabledMechanisms.empty());
+    const QByteArray without = QByteArray{validJson}.replace(R"("new":1)", R"("switchedOff":["whole-costs","retries"])");
+    CHECK(settings::parseSidecarSettings(without)->disabledMechanisms
+          == settings::DisabledMechanisms{settings::Mechanism::wholeCosts, settings::Mechanism::retries});
+    CHECK(hasProblemAt(QByteArray{validJson}.replace(R"("new":1)", R"("switchedOff":["everything"])"), "/switchedOff"));
 }
 
 TEST_CASE("what is wrong is named by its place")
 {
-    CHECK(hasProblemAt(QByteArray{good}.replace("10.0.0.1:1", "host:1"), "/callers"));
-    CHECK(hasProblemAt(QByteArray{good}.replace("10.0.0.9:5", "10.0.0.9"), "/store"));
-    CHECK(hasProblemAt(QByteArray{good}.replace("[7620,7635]", "[]"), "/peerPorts"));
-    CHECK(hasProblemAt(QByteArray{good}.replace(R"({"grace":"6s","budget_slack":47})", "[]"), "/bounds"));
-    CHECK(hasProblemAt(QByteArray{good}.replace(R"("id":"n-1",)", ""), "/id"));
+    CHECK(hasProblemAt(QByteArray{validJson}.replace("10.0.0.1:1", "host:1"), "/callers"));
+    CHECK(hasProblemAt(QByteArray{validJson}.replace("10.0.0.9:5", "10.0.0.9"), "/store"));
+    CHECK(hasProblemAt(QByteArray{validJson}.replace("[7620,7635]", "[]"), "/peerPorts"));
+    CHECK(hasProblemAt(QByteArray{validJson}.replace(R"({"grace":"6s","budget_slack":47})", "[]"), "/bounds"));
+    CHECK(hasProblemAt(QByteArray{validJson}.replace(R"("id":"n-1",)", ""), "/id"));
     rc::check("any bytes are read or refused", [](const std::string &bytes) {
         static_cast<void>(settings::parseSidecarSettings(QByteArray::fromStdString(bytes)));
     });
--- a/test/golden/session.cpp
+++ b/test/golden/session.cpp
@@ -57,9 +57,9 @@
 {
 }
 
-Session::Session(const std::string &story)
+Session::Session(const std::string &summary)
     : m_start{m_clock.steadyNow()}
-    , m_text{fmt::format("# {}\n", story)}
+    , m_text{fmt::format("# {}\n", summary)}
 {
     addNode(internal::entryName, 100);
     addNode("left", 200);
@@ -93,7 +93,7 @@
 
 std::string Session::mintKey(const std::string &kind)
 {
-    writeTime("a caller");
+    writeTimestamp("a caller");
     m_text += fmt::format("> POST /keys/launch-log/{}\n", kind);
     m_callers[++m_lastExchange] = "a caller";
     handle(internal::entryName, egretlatch::decision::KeyRequested{.exchange = {m_lastExchange}, .service = "launch-log", .kind = kind});
@@ -102,7 +102,7 @@
 
 void Session::call(const std::string &caller, const std::string &target, const std::string &key, const std::string &body)
 {
-    writeTime(caller);
+    writeTimestamp(caller);
     m_text += fmt::format("> POST /call/{}/\n", target);
     if (!key.empty()) {
         writeHeaders(">", {{.name = egretlatch::daemon::keyHeader, .value = key}});
@@ -119,9 +119,9 @@
     handle(internal::entryName, egretlatch::decision::CallArrived{.exchange = {m_lastExchange}, .call = call});
 }
 
-void Session::hangUp(const std::string &caller)
+void Session::closeConnection(const std::string &caller)
 {
-    writeTime(caller);
+    writeTimestamp(caller);
     m_text += "> closes the connection\n";
     for (const auto &[exchange, name] : std::map{m_callers}) {
         if (name == caller) {
@@ -167,30 +167,30 @@
 
 void Session::handle(const std::string &daemon, const egretlatch::decision::Event &event)
 {
-    m_letters.push_back({.to = daemon, .event = event});
+    m_eventQueue.push_back({.to = daemon, .event = event});
     deliver();
 }
 
 void Session::deliver()
 {
-    while (!m_letters.empty()) {
-        const Letter letter = std::move(m_letters.front());
-        m_letters.pop_front();
-        const auto node = m_nodes.find(letter.to);
+    while (!m_eventQueue.empty()) {
+        const QueuedEvent queued = std::move(m_eventQueue.front());
+        m_eventQueue.pop_front();
+        const auto node = m_nodes.find(queued.to);
         if (node == m_nodes.end()) {
             continue;
         }
-        for (const egretlatch::decision::Action &action : node->second->core->handle(letter.event)) {
-            take(letter.to, action);
+        for (const egretlatch::decision::Action &action : node->second->core->handle(queued.event)) {
+            execute(queued.to, action);
         }
     }
 }
 
-void Session::take(const std::string &daemon, const egretlatch::decision::Action &action)
+void Session::execute(const std::string &daemon, const egretlatch::decision::Action &action)
 {
     if (const auto *const send = std::get_if<egretlatch::decision::SendToPeer>(&action)) {
         const egretlatch::protocol::Envelope envelope{.sender = {daemon}, .incarnation = {m_incarnations[daemon]}, .message = send->message};
-        m_letters.push_back({.to = send->to.value, .event = egretlatch::decision::PeerMessage{.envelope = envelope}});
+        m_eventQueue.push_back({.to = send->to.value, .event = egretlatch::decision::PeerMessage{.envelope = envelope}});
     } else if (const auto *const start = std::get_if<egretlatch::decision::StartRun>(&action)) {
         m_runs.push_back({.daemon = daemon, .start = *start});
     } else if (const auto *const abort = std::get_if<egretlatch::decision::AbortRun>(&action)) {
@@ -208,33 +208,33 @@
     if (caller == m_callers.end()) {
         return;
     }
-    writeTime(caller->second);
+    writeTimestamp(caller->second);
     m_callers.erase(caller);
-    const egretlatch::decision::CallerAnswer &given = answer.answer;
-    m_nextKey = given.nextKey;
-    m_text += fmt::format("< HTTP/1.1 {}\n", given.status);
-    if (given.verdict == egretlatch::Verdict::completed) {
-        egretlatch::Headers headers = given.headers;
-        headers.push_back({.name = egretlatch::daemon::verdictHeader, .value = std::string{toString(given.verdict)}});
+    const egretlatch::decision::CallerAnswer &callerAnswer = answer.answer;
+    m_nextKey = callerAnswer.nextKey;
+    m_text += fmt::format("< HTTP/1.1 {}\n", callerAnswer.status);
+    if (callerAnswer.verdict == egretlatch::Verdict::completed) {
+        egretlatch::Headers headers = callerAnswer.headers;
+        headers.push_back({.name = egretlatch::daemon::verdictHeader, .value = std::string{toString(callerAnswer.verdict)}});
         writeHeaders("<", headers);
-        m_lastBody = given.body.toStdString();
+        m_lastBody = callerAnswer.body.toStdString();
         m_text += fmt::format("<\n< {}\n", m_lastBody);
         return;
     }
-    writeHeaders("<", egretlatch::daemon::problemHeaders(given));
-    m_text += fmt::format("<\n< {}\n", egretlatch::daemon::problemBody(given).toStdString());
+    writeHeaders("<", egretlatch::daemon::problemHeaders(callerAnswer));
+    m_text += fmt::format("<\n< {}\n", egretlatch::daemon::problemBody(callerAnswer).toStdString());
 }
 
-void Session::writeTime(const std::string &who)
+void Session::writeTimestamp(const std::string &who)
 {
     const auto passed = std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.steadyNow() - m_start);
     m_text += fmt::format("\n{} ms, {}\n", passed.count(), who);
 }
 
-void Session::writeHeaders(const char *const mark, const egretlatch::Headers &headers)
+void Session::writeHeaders(const char *const prefix, const egretlatch::Headers &headers)
 {
     for (const egretlatch::Header &header : headers) {
-        m_text += fmt::format("{} {}: {}\n", mark, header.name, header.value);
+        m_text += fmt::format("{} {}: {}\n", prefix, header.name, header.value);
     }
 }
 
--- a/test/golden/session.hpp
+++ b/test/golden/session.hpp
@@ -27,9 +27,9 @@
 public:
     /**
      * @brief Starts a session.
-     * @param story What happens, in a line or two; stands at the head of the text.
+     * @param summary What happens, in a line or two; stands at the head of the text.
      */
-    explicit Session(const std::string &story);
+    explicit Session(const std::string &summary);
 
     /**
      * @brief Has a caller mint a key at the entry daemon.
@@ -51,7 +51,7 @@
      * @brief Has a caller close its connection.
      * @param caller Name of the caller.
      */
-    void hangUp(const std::string &caller);
+    void closeConnection(const std::string &caller);
 
     /**
      * @brief Ends the oldest run at any backend server.
@@ -114,12 +114,12 @@
     void addNode(const std::string &name, std::uint64_t incarnation);
     void handle(const std::string &daemon, const egretlatch::decision::Event &event);
     void deliver();
-    void take(const std::string &daemon, const egretlatch::decision::Action &action);
+    void execute(const std::string &daemon, const egretlatch::decision::Action &action);
     void writeAnswer(const egretlatch::decision::AnswerCaller &answer);
-    void writeTime(const std::string &who);
-    void writeHeaders(const char *mark, const egretlatch::Headers &headers);
+    void writeTimestamp(const std::string &who);
+    void writeHeaders(const char *prefix, const egretlatch::Headers &headers);
 
-    struct Letter
+    struct QueuedEvent
     {
         std::string to;
         egretlatch::decision::Event event;
@@ -130,7 +130,7 @@
     egretlatch::SteadyTime m_start;
     std::map<std::string, std::unique_ptr<Node>> m_nodes;
     std::map<std::string, std::uint64_t> m_incarnations;
-    std::deque<Letter> m_letters;
+    std::deque<QueuedEvent> m_eventQueue;
     std::deque<Run> m_runs;
     std::map<std::uint64_t, std::string> m_callers;
     std::uint64_t m_lastExchange{};
--- a/test/golden/sessions.cpp
+++ b/test/golden/sessions.cpp
@@ -119,7 +119,7 @@
     session.call("pilot", lookup, {}, "{}");
     CHECK(session.runs() == 1);
     session.wait(std::chrono::milliseconds{20});
-    session.hangUp("pilot");
+    session.closeConnection("pilot");
     CHECK(session.runs() == 0);
     session.call("pilot", lookup, {}, "{}");
     session.answerOldestRun(200, R"({"launches":3})");
