--- a/src/egretlatch/cli/daemon_command.cpp
+++ b/src/egretlatch/cli/daemon_command.cpp
@@ -36,7 +36,7 @@
         return ExitCode::badInput;
     }
     daemon::Tokens tokens{.operators = std::move(*operatorToken), .platform = std::move(*platformToken)};
-    // GLib's event loop, which Qt takes where it finds it, costs more processor time a call (docs/DESIGN.md).
+    // Qt prefers GLib's event loop where it is available, which uses more processor time per call (docs/DESIGN.md).
     qputenv("QT_NO_GLIB", "1");
     const int signalDescriptor = openSignalDescriptor({SIGTERM, SIGINT});
     QCoreApplication application{argc, argv};
--- a/src/egretlatch/cli/daemon_command.hpp
+++ b/src/egretlatch/cli/daemon_command.hpp
@@ -7,7 +7,7 @@
 {
 
 /**
- * @brief Runs a daemon until it is told to stop by SIGTERM or SIGINT, and has drained.
+ * @brief Runs a daemon until it has drained after SIGTERM or SIGINT.
  * @param settingsPath Path of its settings.
  * @param argc Count of the program's arguments.
  * @param argv The program's arguments.
--- a/src/egretlatch/cli/documents.hpp
+++ b/src/egretlatch/cli/documents.hpp
@@ -14,30 +14,30 @@
 {
 
 /**
- * @brief Reads a file whole.
+ * @brief Reads a whole file.
  * @param path Path of the file.
- * @return Its bytes, or nothing after a line on standard error.
+ * @return Its bytes; nothing if it cannot be read, which is reported on standard error.
  */
 [[nodiscard]] std::optional<QByteArray> readFile(const std::string &path);
 
 /**
- * @brief Reads and checks a settings file.
+ * @brief Reads and validates a settings file.
  * @param path Path of the file.
- * @return The settings, or nothing after a line on standard error for each problem.
+ * @return The settings; nothing if they have errors, each of which is reported on standard error.
  */
 [[nodiscard]] std::optional<settings::DaemonSettings> readSettings(const std::string &path);
 
 /**
- * @brief Reads and checks a manifest; warnings go to standard error too.
+ * @brief Reads and validates a manifest; its warnings are also printed to standard error.
  * @param path Path of the file.
- * @return The manifest, or nothing after a line on standard error for each problem.
+ * @return The manifest; null if it has errors, each of which is reported on standard error.
  */
 [[nodiscard]] std::shared_ptr<const manifest::Manifest> readManifest(const std::string &path);
 
 /**
- * @brief Reads a token from a file, without the white space around it.
+ * @brief Reads a token from a file and strips surrounding white space.
  * @param path Path of the file; empty for no token.
- * @return The token, or nothing after a line on standard error if the file cannot be read or holds none.
+ * @return The token; nothing if the file cannot be read or is empty, which is reported on standard error.
  */
 [[nodiscard]] std::optional<Secret> readToken(const std::string &path);
 
--- a/src/egretlatch/cli/exit_code.hpp
+++ b/src/egretlatch/cli/exit_code.hpp
@@ -4,20 +4,20 @@
 namespace egretlatch::cli
 {
 
-/*! @brief What the shipped program ends with. */
+/*! @brief Exit codes of the `egretlatch` program. */
 enum ExitCode : int {
     success = 0,
-    /*! @brief Something outside could not be had: a port, a daemon, the platform; nothing was changed. */
+    /*! @brief A port, a daemon or the platform is unavailable; nothing was changed. */
     unavailable = 1,
-    /*! @brief The command line, the settings, the manifest or a token is wrong; nothing was changed. */
+    /*! @brief The command line, the settings, the manifest or a token is invalid; nothing was changed. */
     badInput = 2,
     /*! @brief Another submission was accepted first. */
     conflict = 3,
-    /*! @brief There is no such refusal. */
+    /*! @brief No such refusal exists. */
     notFound = 4,
-    /*! @brief The platform did not say whether the submission was accepted. */
+    /*! @brief The platform did not confirm whether the submission was accepted. */
     unsure = 5,
-    /*! @brief Some daemon lags behind the newest configuration, or gave no answer. */
+    /*! @brief At least one daemon lags behind the newest configuration or did not answer. */
     lagging = 6,
 };
 
--- a/src/egretlatch/cli/explain_command.cpp
+++ b/src/egretlatch/cli/explain_command.cpp
@@ -29,7 +29,7 @@
 
 using BatchVisitor = std::function<bool(const account::AccountBatch &)>;
 
-/*! @brief Reads the account; stops for good at the first request that stays without an answer. */
+/*! @brief Reads the stored refusals (the account); stops permanently once a request has failed on every attempt. */
 class AccountReader
 {
 public:
@@ -39,7 +39,7 @@
     {
     }
 
-    // Visits the batches whose names have a prefix and lie between two names; false once the visitor has seen enough.
+    // Visits the batches whose names have the prefix and lie after `after` and before `end`; the visitor returns false to stop.
     void visit(const std::string &prefix, std::string after, const std::string &end, const BatchVisitor &visitor)
     {
         while (true) {
@@ -117,7 +117,7 @@
     return fmt::format("{} could not keep {} refusals between {} and {} UTC", daemon.value, gap.count, toText(gap.first), toText(gap.last));
 }
 
-/*! @brief What a sum is kept by. */
+/*! @brief Key by which refusals are counted. */
 struct RefusalGroup
 {
     std::string kind;
@@ -127,7 +127,7 @@
     friend auto operator<=>(const RefusalGroup &, const RefusalGroup &) = default;
 };
 
-/*! @brief The sum of a span. */
+/*! @brief Counts of the refusals that match a query, and the gaps in the record. */
 struct RefusalSummary
 {
     std::map<RefusalGroup, std::uint64_t> counts;
@@ -161,7 +161,7 @@
     return WallTime{std::chrono::milliseconds{time.toMSecsSinceEpoch()}};
 }
 
-// Refusals of the last minute are held by the daemons alone.
+// Refusals of the last minute are not stored yet; only the daemons hold them.
 [[nodiscard]] static std::optional<account::RefusalRecord> fetchFromDaemons(const ExplainOptions &options, const Secret &token)
 {
     for (const std::string &url : options.daemons) {
@@ -184,7 +184,7 @@
         }
         const bool hasPlatform = !options.platform.url.empty() || !options.platform.settingsPath.empty();
         if (!hasPlatform && !options.daemons.empty()) {
-            return {.code = ExitCode::notFound, .text = "no daemon asked holds that refusal; give --platform to search the store\n"};
+            return {.code = ExitCode::notFound, .text = "none of the daemons holds that refusal; give --platform to search the store\n"};
         }
     }
     const std::unique_ptr<PlatformPort> port = openPlatform(options.platform);
@@ -205,7 +205,7 @@
 [[nodiscard]] static CommandResult describeTimeline(const ExplainOptions &options)
 {
     if (options.id.empty()) {
-        return {.code = ExitCode::badInput, .text = "--log wants the name of a request\n"};
+        return {.code = ExitCode::badInput, .text = "--log requires the name of a request\n"};
     }
     RequestTimeline timeline{options.id};
     for (const std::string &path : options.logs) {
@@ -277,10 +277,10 @@
         text += fmt::format("{:>10}  {:<40} {:<22} {}\n", count, key.kind, key.reason, key.verdict);
     }
     for (const std::string &gap : summary.gaps) {
-        text += "not whole: " + gap + "\n";
+        text += "incomplete: " + gap + "\n";
     }
     if (reader.unreadableBatches() > 0) {
-        text += fmt::format("not whole: {} objects could not be read\n", reader.unreadableBatches());
+        text += fmt::format("incomplete: {} objects could not be read\n", reader.unreadableBatches());
     }
     return {.code = ExitCode::success, .text = std::move(text)};
 }
--- a/src/egretlatch/cli/explain_command.hpp
+++ b/src/egretlatch/cli/explain_command.hpp
@@ -11,27 +11,27 @@
 namespace egretlatch::cli
 {
 
-/*! @brief What `egretlatch explain` is told. */
+/*! @brief Command-line options of `egretlatch explain`. */
 struct ExplainOptions
 {
-    /*! @brief Id of one refusal, or with logs the name of a request; empty to sum up. */
+    /*! @brief Id of one refusal or, if logs are given, the name of a request; empty to summarize a period. */
     std::string id;
     /*! @brief `service/kind`, or empty for all. */
     std::string kind;
-    /*! @brief Start of the span, as 2026-12-02T22:00:00Z. */
+    /*! @brief Start of the period, such as 2026-12-02T22:00:00Z. */
     std::string since;
-    /*! @brief End of the span; empty for now. */
+    /*! @brief End of the period; empty for now. */
     std::string until;
     bool isJson{};
     PlatformOptions platform;
-    /*! @brief Daemons to ask for refusals that are not stored yet. */
+    /*! @brief Base URLs of daemons to query for refusals that are not stored yet. */
     std::vector<std::string> daemons;
     std::string operatorTokenPath;
-    /*! @brief Logs of daemons to read the story of a request from; `-` for standard input. */
+    /*! @brief Paths of daemon logs from which to build the timeline of a request; `-` for standard input. */
     std::vector<std::string> logs;
 };
 
-/*! @brief A span of the account to sum up. */
+/*! @brief Selects the stored refusals to summarize. */
 struct RefusalQuery
 {
     WallTime since;
@@ -43,10 +43,10 @@
 };
 
 /**
- * @brief Tells of one refusal.
+ * @brief Describes one refusal.
  * @param record The refusal.
- * @param isJson Whether an auditor reads it, or a member.
- * @return What to print.
+ * @param isJson True for all fields as JSON, for an auditor; false for a sentence, for a user.
+ * @return The text to print.
  */
 [[nodiscard]] CommandResult describeRefusal(const account::RefusalRecord &record, bool isJson);
 
@@ -55,23 +55,23 @@
  * @param id Its id.
  * @param port The platform.
  * @param random Source of jitter.
- * @param isJson Whether an auditor reads it, or a member.
- * @return What to print; `notFound` if the account of that minute does not hold it.
+ * @param isJson True for all fields as JSON, for an auditor; false for a sentence, for a user.
+ * @return The text to print; `notFound` if the refusals stored for that minute do not contain it.
  */
 [[nodiscard]] CommandResult explainRefusal(const Uuid &id, PlatformPort &port, RandomSource &random, bool isJson);
 
 /**
- * @brief Sums up a span of the account.
- * @param span The span.
+ * @brief Counts the stored refusals that match a query by kind, reason and verdict.
+ * @param query The refusals to count.
  * @param port The platform.
  * @param random Source of jitter.
- * @return What to print, gaps of the account included.
+ * @return The text to print, including gaps in the stored refusals.
  */
 [[nodiscard]] CommandResult summarizeRefusals(const RefusalQuery &query, PlatformPort &port, RandomSource &random);
 
 /**
  * @brief Runs `egretlatch explain`.
- * @param options What the command line says.
+ * @param options The command-line options.
  * @param argc Count of the program's arguments.
  * @param argv The program's arguments.
  * @return An ExitCode.
--- a/src/egretlatch/cli/http_fetch.hpp
+++ b/src/egretlatch/cli/http_fetch.hpp
@@ -12,7 +12,7 @@
 {
 
 /**
- * @brief Reads a page of a daemon; needs an application object, and runs its event loop while it waits.
+ * @brief Fetches a page from a daemon; requires an application object and runs its event loop while waiting.
  * @param url URL of the page.
  * @param token The operators' token; empty for none.
  * @return The page; `forbidden`, `notFound` or `unavailable` otherwise.
--- a/src/egretlatch/cli/http_platform_port.hpp
+++ b/src/egretlatch/cli/http_platform_port.hpp
@@ -7,13 +7,13 @@
 namespace egretlatch::cli
 {
 
-/*! @brief Asks the platform over HTTP; needs an application object, and runs its event loop while it waits. */
+/*! @brief Sends requests to the platform over HTTP; requires an application object and runs its event loop while waiting. */
 class HttpPlatformPort final : public PlatformPort
 {
 public:
     /**
      * @brief Builds a port.
-     * @param access Where the platform is.
+     * @param access URL and token of the platform.
      */
     explicit HttpPlatformPort(daemon::PlatformAccess access);
 
--- a/src/egretlatch/cli/keys_command.hpp
+++ b/src/egretlatch/cli/keys_command.hpp
@@ -5,7 +5,7 @@
 {
 
 /**
- * @brief Makes a key pair for the connections between daemons and prints it as JSON.
+ * @brief Generates a key pair for the connections between daemons and prints it as JSON.
  * @return An ExitCode.
  */
 [[nodiscard]] int makeKeys();
--- a/src/egretlatch/cli/log_file.hpp
+++ b/src/egretlatch/cli/log_file.hpp
@@ -16,7 +16,7 @@
 /**
  * @brief Reads a daemon's log.
  * @param path Its path; `-` is standard input.
- * @return The log, or `unavailable`.
+ * @return The log; `unavailable` if it cannot be read.
  */
 [[nodiscard]] inline Result<QByteArray> readLog(const std::string &path)
 {
--- a/src/egretlatch/cli/log_line.hpp
+++ b/src/egretlatch/cli/log_line.hpp
@@ -11,9 +11,9 @@
 {
 
 /**
- * @brief Reads a line of a daemon's log; what stands before its first brace, as a collector's own stamp, is passed over.
+ * @brief Parses a line of a daemon's log; any text before the first brace, such as a log collector's timestamp, is skipped.
  * @param line The line.
- * @return Its fields; none if it is no log line.
+ * @return Its fields; an empty object if it is not a log line.
  */
 [[nodiscard]] inline QJsonObject parseLogLine(const QByteArray &line)
 {
@@ -22,10 +22,10 @@
 }
 
 /**
- * @brief Gives a field as text.
+ * @brief Returns a field as text.
  * @param fields Fields of a line.
  * @param name Name of the field.
- * @return Empty if the line has no such field.
+ * @return The text; empty if the line has no such field.
  */
 [[nodiscard]] inline std::string textField(const QJsonObject &fields, const char *const name)
 {
@@ -33,10 +33,10 @@
 }
 
 /**
- * @brief Gives a field as a number; log lines carry numbers as texts.
+ * @brief Returns a field as a number; log lines carry numbers as text.
  * @param fields Fields of a line.
  * @param name Name of the field.
- * @return Zero if the line has no such field.
+ * @return The number; zero if the line has no such field.
  */
 [[nodiscard]] inline qint64 numberField(const QJsonObject &fields, const char *const name)
 {
--- a/src/egretlatch/cli/log_reader.cpp
+++ b/src/egretlatch/cli/log_reader.cpp
@@ -26,10 +26,10 @@
 {
     std::string text;
     if (m_linesLeftOut > 0) {
-        text += fmt::format("not whole: these logs say that {} lines were left out\n", m_linesLeftOut);
+        text += fmt::format("incomplete: the logs report that {} lines were left out\n", m_linesLeftOut);
     }
     if (m_linesUnreadable > 0) {
-        text += fmt::format("not whole: {} lines could not be read\n", m_linesUnreadable);
+        text += fmt::format("incomplete: {} lines could not be read\n", m_linesUnreadable);
     }
     return text;
 }
--- a/src/egretlatch/cli/log_reader.hpp
+++ b/src/egretlatch/cli/log_reader.hpp
@@ -10,15 +10,15 @@
 namespace egretlatch::cli
 {
 
-/*! @brief Reads logs of daemons line by line, and counts what is missing in them. */
+/*! @brief Reads daemon logs line by line and counts the lines that are missing or unreadable. */
 class LogReader
 {
 public:
     virtual ~LogReader() = default;
 
     /**
-     * @brief Takes lines.
-     * @param log Whole lines; those that are no log lines are counted.
+     * @brief Processes the lines of a log.
+     * @param log Complete lines; those that are not log lines are counted as unreadable.
      */
     void read(const QByteArray &log);
 
@@ -28,19 +28,19 @@
     LogReader &operator=(const LogReader &) = default;
 
     /**
-     * @brief Takes one line.
+     * @brief Processes one line.
      * @param fields Its fields.
      */
     virtual void processLine(const QJsonObject &fields) = 0;
 
     /**
-     * @brief Says in sentences what is missing.
-     * @return A line for each cause; empty if nothing is.
+     * @brief Describes the lines that are missing or unreadable.
+     * @return A line of text for each cause; empty if the logs are complete.
      */
     [[nodiscard]] std::string describeGaps() const;
 
     /**
-     * @brief Puts the counts of what is missing into a document.
+     * @brief Adds the counts of missing and unreadable lines to a document.
      * @param document The document.
      */
     void addGapCounts(QJsonObject &document) const;
--- a/src/egretlatch/cli/loss_table.hpp
+++ b/src/egretlatch/cli/loss_table.hpp
@@ -16,39 +16,39 @@
 {
 
 /**
- * @brief Sums up, from the logs of several daemons, what callers were refused: when, of which kind, why and at which daemon.
+ * @brief Aggregates refused requests from the logs of several daemons by time, kind, reason and daemon.
  *
- * Only callers' own requests count: an inner call that is refused shows in what becomes of its root.
+ * Only requests sent by callers are counted: the refusal of an inner call shows in the outcome of its root.
  */
 class LossTable : public LogReader
 {
 public:
     /**
-     * @brief Begins with nothing.
-     * @param span Length of the spans of time that are summed up.
+     * @brief Builds an empty table.
+     * @param span Length of the intervals over which losses are summed.
      */
     explicit LossTable(std::chrono::seconds span);
 
     /**
-     * @brief Gives the table, spans in their order and the greatest worth of each first.
-     * @return What to print.
+     * @brief Formats the table as text: intervals in order of time, the greatest worth first within each.
+     * @return The text to print.
      */
     [[nodiscard]] CommandResult asText() const;
 
     /**
-     * @brief Gives the table as JSON.
-     * @return What to print.
+     * @brief Formats the table as JSON.
+     * @return The text to print.
      */
     [[nodiscard]] CommandResult asJson() const;
 
 private:
     struct Row
     {
-        /*! @brief Begin of the span, in seconds of Unix time. */
+        /*! @brief Start of the interval, in seconds since the Unix epoch. */
         std::int64_t begin{};
         std::string kind;
         std::string reason;
-        /*! @brief Daemon that was asked last; empty if none was. */
+        /*! @brief Daemon to which the request was last sent; empty if it was sent to none. */
         std::string daemon;
 
         friend auto operator<=>(const Row &, const Row &) = default;
--- a/src/egretlatch/cli/losses_command.hpp
+++ b/src/egretlatch/cli/losses_command.hpp
@@ -7,19 +7,19 @@
 namespace egretlatch::cli
 {
 
-/*! @brief What the command line of `egretlatch losses` says. */
+/*! @brief Command-line options of `egretlatch losses`. */
 struct LossesOptions
 {
-    /*! @brief Paths of logs; `-` is standard input. */
+    /*! @brief Paths of daemon logs; `-` for standard input. */
     std::vector<std::string> logs;
-    /*! @brief Length of the spans that are summed up, in seconds. */
+    /*! @brief Length of the intervals over which losses are summed, in seconds. */
     int seconds{2};
     bool isJson{};
 };
 
 /**
  * @brief Runs `egretlatch losses`.
- * @param options What the command line says.
+ * @param options The command-line options.
  * @return An ExitCode.
  */
 [[nodiscard]] int runLosses(const LossesOptions &options);
--- a/src/egretlatch/cli/main.cpp
+++ b/src/egretlatch/cli/main.cpp
@@ -18,9 +18,9 @@
 using namespace egretlatch::cli;
 
 constexpr const char *versionText = "egretlatch 0.1.0, inner protocol 1";
-constexpr const char *exitCodes = "Exit codes: 0 success; 1 something outside cannot be had, nothing changed; 2 wrong command line,\n"
+constexpr const char *exitCodes = "Exit codes: 0 success; 1 something outside is unavailable, nothing changed; 2 wrong command line,\n"
                                   "settings, manifest or token; 3 another submission was accepted first; 4 no such refusal;\n"
-                                  "5 the platform did not say whether a submission was accepted; 6 a daemon lags or is silent.";
+                                  "5 the platform did not confirm whether a submission was accepted; 6 a daemon lags or did not answer.";
 
 [[nodiscard]] int check(const std::string &settingsPath, const std::string &manifestPath)
 {
@@ -40,22 +40,22 @@
 void addPlatformOptions(CLI::App &command, PlatformOptions &options)
 {
     command.add_option("--platform", options.url, "Base URL of the platform's table and object store");
-    command.add_option("--settings", options.settingsPath, "Settings of a daemon, in place of --platform and --token-file");
-    command.add_option("--token-file", options.tokenPath, "File with the token that the platform asks for");
+    command.add_option("--settings", options.settingsPath, "Settings file of a daemon, instead of --platform and --token-file");
+    command.add_option("--token-file", options.tokenPath, "File with the token for the platform");
 }
 
 CLI::App *addSubmit(CLI::App &app, SubmitOptions &options)
 {
     CLI::App *const command = app.add_subcommand("submit", "Submit a manifest as the version after the one it was made from.");
     command->add_option("--manifest", options.manifestPath, "Manifest (JSON)")->required();
-    command->add_option("--base", options.base, "Version that it was made from; 0 for the first")->required();
+    command->add_option("--base", options.base, "Version that the manifest was made from; 0 for the first")->required();
     addPlatformOptions(*command, options.platform);
-    command->add_option("--submission", options.submission, "Id of an earlier run that ended unsure, to go on with it");
-    command->add_option("--submitter", options.submitter, "Your name, shown to whoever loses a race against you");
-    command->add_option("--timeout-s", options.timeoutSeconds, "Seconds to spend on waiting for the platform")->check(CLI::Range(0, 3600));
+    command->add_option("--submission", options.submission, "Id of an earlier submission that ended unsure, to resume it");
+    command->add_option("--submitter", options.submitter, "Your name, shown to an operator whose submission conflicts with yours");
+    command->add_option("--timeout-s", options.timeoutSeconds, "Maximum time to wait for the platform, in seconds")->check(CLI::Range(0, 3600));
     command->footer("Example: egretlatch submit --manifest launch.json --base 12 --settings /etc/egretlatch/daemon.json --submitter anna\n"
-                    "The version after the base is either yours or another's, for ever; a conflict (3) names the winner.\n"
-                    "After an unsure end (5), run the same command again with the --submission that it printed.");
+                    "The version after the base is given to one submission, permanently; a conflict (3) names the winner.\n"
+                    "If the result is unsure (5), run the same command again with the --submission that it printed.");
     return command;
 }
 
@@ -65,21 +65,22 @@
     command->add_option("--daemon", options.daemons, "Base URL of a daemon; may be given more than once")->required();
     command->add_option("--token-file", options.tokenPath, "File with the operators' token");
     command->footer("Example: egretlatch status --daemon http://10.0.0.5:8000 --daemon http://10.0.1.5:8000 --token-file operators.token\n"
-                    "A daemon that is asked speaks for itself; of the others it tells what it heard last, and when.");
+                    "Each of these daemons reports its own version; for the others it reports the version last received, and when.");
     return command;
 }
 
 CLI::App *addExplain(CLI::App &app, ExplainOptions &options)
 {
-    CLI::App *const command = app.add_subcommand("explain", "Tell why a request was refused, or sum up the refusals of a span of time.");
-    command->add_option("id", options.id, "Id of a refusal, as the answer gave it; with --log, the name of a request");
-    command->add_option("--kind", options.kind, "Sum up only this SERVICE/KIND");
-    command->add_option("--since", options.since, "Sum up from this time on, such as 2026-12-02T22:00:00Z");
-    command->add_option("--until", options.until, "Sum up to this time; by default now");
-    command->add_flag("--json", options.isJson, "All that is known, for an auditor");
-    command->add_option("--log", options.logs, "Log of a daemon, or - for standard input: tell the story of a request from it; may be given more than once");
+    CLI::App *const command = app.add_subcommand("explain", "Explain why a request was refused, or summarize the refusals of a period.");
+    command->add_option("id", options.id, "Id of a refusal, from the answer; with --log, the name of a request");
+    command->add_option("--kind", options.kind, "Summarize only this SERVICE/KIND");
+    command->add_option("--since", options.since, "Start of the period, such as 2026-12-02T22:00:00Z");
+    command->add_option("--until", options.until, "End of the period; by default now");
+    command->add_flag("--json", options.isJson, "Print all fields as JSON");
+    command->add_option(
+        "--log", options.logs, "Log of a daemon, or - for standard input, from which to show the timeline of a request; may be given more than once");
     addPlatformOptions(*command, options.platform);
-    command->add_option("--daemon", options.daemons, "Base URL of a daemon to ask for a refusal that is not stored yet");
+    command->add_option("--daemon", options.daemons, "Base URL of a daemon to query for a refusal that is not stored yet");
     command->add_option("--operator-token-file", options.operatorTokenPath, "File with the operators' token, for --daemon");
     command->footer("Example: egretlatch explain 019ae1f2-7c40-7a3b-9d11-0c5d2f6e8a90 --settings /etc/egretlatch/daemon.json\n"
                     "Example: egretlatch explain --kind launch-log/launch-entry --since 2026-12-02T06:00:00Z --settings daemon.json\n"
@@ -89,10 +90,10 @@
 
 CLI::App *addLosses(CLI::App &app, LossesOptions &options)
 {
-    CLI::App *const command = app.add_subcommand("losses", "Sum up from logs what callers were refused: when, of which kind, why and where.");
+    CLI::App *const command = app.add_subcommand("losses", "Summarize refused requests from logs by time, kind, reason and daemon.");
     command->add_option("--log", options.logs, "Log of a daemon, or - for standard input; may be given more than once")->required();
-    command->add_option("--seconds", options.seconds, "Length of the spans that are summed up")->check(CLI::PositiveNumber);
-    command->add_flag("--json", options.isJson, "The table as JSON");
+    command->add_option("--seconds", options.seconds, "Length of the intervals over which losses are summed")->check(CLI::PositiveNumber);
+    command->add_flag("--json", options.isJson, "Print the table as JSON");
     command->footer("Example: cat *.log | egretlatch losses --log - --seconds 10");
     return command;
 }
@@ -107,22 +108,22 @@
     int result = ExitCode::success;
 
     std::string settingsPath;
-    CLI::App *const daemon = app.add_subcommand("daemon", "Run the daemon beside a backend server until SIGTERM.");
+    CLI::App *const daemon = app.add_subcommand("daemon", "Run the daemon of a backend server until SIGTERM.");
     daemon->add_option("--settings", settingsPath, "Settings file (JSON)")->required();
     daemon->footer("Example: egretlatch daemon --settings /etc/egretlatch/daemon.json");
 
-    CLI::App *const sidecar = app.add_subcommand("sidecar", "Run the daemon of a VM that the users' platform runs, until SIGTERM.");
+    CLI::App *const sidecar = app.add_subcommand("sidecar", "Run the daemon on a VM managed by the users' platform, until SIGTERM.");
     sidecar->add_option("--settings", settingsPath, "Settings file (JSON)")->envname("EGRETLATCH_NODE_FILE")->required();
     sidecar->footer("Example: EGRETLATCH_NODE_FILE=/etc/egretlatch/local.yaml egretlatch sidecar");
 
     std::string manifestPath;
-    CLI::App *const checkCommand = app.add_subcommand("check", "Check settings or a manifest without using them.");
+    CLI::App *const checkCommand = app.add_subcommand("check", "Validate settings or a manifest without using them.");
     checkCommand->add_option("--settings", settingsPath, "Settings file (JSON)");
     checkCommand->add_option("--manifest", manifestPath, "Manifest (JSON)");
     checkCommand->require_option(1, 2);
     checkCommand->footer("Example: egretlatch check --manifest examples/gliding-union.json");
 
-    CLI::App *const keys = app.add_subcommand("keys", "Make a key pair for the connections between daemons and print it as JSON.");
+    CLI::App *const keys = app.add_subcommand("keys", "Generate a key pair for the connections between daemons and print it as JSON.");
     keys->footer("Example: egretlatch keys > /etc/egretlatch/peer-keys.json");
     SubmitOptions submitOptions;
     CLI::App *const submit = addSubmit(app, submitOptions);
--- a/src/egretlatch/cli/platform_port.hpp
+++ b/src/egretlatch/cli/platform_port.hpp
@@ -7,22 +7,22 @@
 namespace egretlatch::cli
 {
 
-/*! @brief The platform as a command sees it: one question at a time. */
+/*! @brief Synchronous access to the platform for commands: one request at a time. */
 class PlatformPort
 {
 public:
     virtual ~PlatformPort() = default;
 
     /**
-     * @brief Asks and waits for the outcome.
-     * @param request What is asked.
+     * @brief Sends a request and waits for its outcome.
+     * @param request The request.
      * @return The outcome.
      */
     [[nodiscard]] virtual store::Outcome ask(const store::Request &request) = 0;
 
     /**
-     * @brief Lets time pass.
-     * @param span How long.
+     * @brief Waits between two attempts.
+     * @param span Time to wait.
      */
     virtual void wait(Duration span) = 0;
 };
--- a/src/egretlatch/cli/request_timeline.cpp
+++ b/src/egretlatch/cli/request_timeline.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::size_t indentWidth = 4;
 
-// Figures of a line, as in `queued=7 limit=11`.
+// Parses the figures of a line, such as `queued=7 limit=11`.
 [[nodiscard]] static std::vector<account::Figure> figuresFrom(const QString &text)
 {
     std::vector<account::Figure> figures;
@@ -53,12 +53,12 @@
 [[nodiscard]] static std::string sentenceOf(const RequestLogLine &line)
 {
     const std::string server = textField(line.fields, "server");
-    const std::string lastDaemon = server.empty() ? std::string{"no daemon was asked"} : fmt::format("daemon {} was asked last", server);
+    const std::string lastDaemon = server.empty() ? std::string{"it was sent to no daemon"} : fmt::format("it was last sent to daemon {}", server);
     const std::string elapsed = textField(line.fields, "elapsedMs");
     if (line.event == "refused") {
-        return fmt::format("{} That was {} ms after it came; {}.", account::toSentence(recordFrom(line)), elapsed, lastDaemon);
+        return fmt::format("{} That was {} ms after it arrived; {}.", account::toSentence(recordFrom(line)), elapsed, lastDaemon);
     }
-    return fmt::format("{} {}/{}, {} ms after it came; {}: {}.",
+    return fmt::format("{} {}/{}, {} ms after it arrived; {}: {}.",
                        line.event,
                        textField(line.fields, "service"),
                        textField(line.fields, "kind"),
@@ -89,7 +89,7 @@
 std::vector<RequestLogLine> RequestTimeline::lines() const
 {
     std::vector<RequestLogLine> lines = m_lines;
-    // Within a millisecond the end of an inner call comes before that of its request.
+    // Within one millisecond, an inner call ends before its parent request.
     std::stable_sort(lines.begin(), lines.end(), [this](const RequestLogLine &one, const RequestLogLine &other) {
         return one.time != other.time ? one.time < other.time : depthOf(one.request) > depthOf(other.request);
     });
@@ -105,7 +105,7 @@
         text += fmt::format("{:{}}{} {}, {}: {}\n", "", depth * internal::indentWidth, line.time, line.daemon, name, internal::sentenceOf(line));
     }
     if (m_lines.empty()) {
-        text = fmt::format("no line tells of {}: it went well, or it never came to these daemons\n", m_request);
+        text = fmt::format("no log line mentions {}: it succeeded, or it never reached these daemons\n", m_request);
     }
     text += describeGaps();
     return {.code = m_lines.empty() ? ExitCode::notFound : ExitCode::success, .text = std::move(text)};
--- a/src/egretlatch/cli/request_timeline.hpp
+++ b/src/egretlatch/cli/request_timeline.hpp
@@ -13,14 +13,14 @@
 namespace egretlatch::cli
 {
 
-/*! @brief One line of a daemon's log that tells of a request. */
+/*! @brief A line of a daemon's log about a request. */
 struct RequestLogLine
 {
-    /*! @brief Time as the line says it; texts of that form sort by time. */
+    /*! @brief Time as text in the format of the log, which sorts by time. */
     std::string time;
     std::string daemon;
     std::string event;
-    /*! @brief Name of the request; an inner call's begins with its parent's. */
+    /*! @brief Name of the request; the name of an inner call begins with that of its parent. */
     std::string request;
     QJsonObject fields;
 
@@ -28,34 +28,34 @@
 };
 
 /**
- * @brief Gathers what the logs of several daemons tell of one request.
+ * @brief Collects the lines about one request and its inner calls from the logs of several daemons.
  *
- * Lines may stand in any order, and what stands before the first brace of a line, as a collector's own stamp, is passed over.
+ * Lines may be in any order; any text before the first brace of a line, such as a log collector's timestamp, is skipped.
  */
 class RequestTimeline : public LogReader
 {
 public:
     /**
-     * @brief Begins with nothing.
-     * @param request Name of the request; its inner calls belong to the story.
+     * @brief Builds an empty timeline.
+     * @param request Name of the request; its inner calls are included.
      */
     explicit RequestTimeline(std::string request);
 
     /**
-     * @brief Gives the story in the order in which it happened.
-     * @return The lines, of inner calls too.
+     * @brief Returns the lines in the order in which they happened.
+     * @return The lines, including those of inner calls.
      */
     [[nodiscard]] std::vector<RequestLogLine> lines() const;
 
     /**
-     * @brief Tells the story in sentences, inner calls set in under their request.
-     * @return What to print; `notFound` if no line tells of the request, with what speaks for and against that it went well.
+     * @brief Formats the timeline as sentences, with inner calls indented below their request.
+     * @return The text to print; `notFound` if no line mentions the request, with the gaps in the logs that leave open whether it succeeded.
      */
     [[nodiscard]] CommandResult asText() const;
 
     /**
-     * @brief Tells the story as JSON.
-     * @return What to print; `notFound` if no line tells of the request.
+     * @brief Formats the timeline as JSON.
+     * @return The text to print; `notFound` if no line mentions the request.
      */
     [[nodiscard]] CommandResult asJson() const;
 
--- a/src/egretlatch/cli/sidecar_command.cpp
+++ b/src/egretlatch/cli/sidecar_command.cpp
@@ -25,7 +25,7 @@
 namespace internal
 {
 
-// How often the settings file is looked at.
+// Interval between checks of the settings file for changes.
 constexpr std::chrono::seconds watchInterval{1};
 
 [[nodiscard]] static std::optional<settings::SidecarSettings> readSidecarSettings(const std::string &path)
@@ -53,7 +53,7 @@
     if (!settings.has_value()) {
         return ExitCode::badInput;
     }
-    // One heap for all threads: the few that Qt starts allocate little, and a heap of their own each would hold more than they use.
+    // One malloc arena for all threads: the few threads that Qt starts allocate little, and a separate arena for each would hold more memory than they use.
     mallopt(M_ARENA_MAX, 1);
     const int signalDescriptor = openSignalDescriptor({SIGTERM, SIGINT, SIGHUP});
     QCoreApplication::setEventDispatcher(new net::EventDispatcher);
@@ -76,7 +76,7 @@
         }
         reload();
     });
-    // The file may change without a signal.
+    // The settings file may change without a SIGHUP, so its modification time is polled.
     QDateTime readAt = QFileInfo{QString::fromStdString(settingsPath)}.lastModified();
     QTimer watch;
     watch.setInterval(internal::watchInterval);
--- a/src/egretlatch/cli/sidecar_command.hpp
+++ b/src/egretlatch/cli/sidecar_command.hpp
@@ -7,11 +7,11 @@
 {
 
 /**
- * @brief Runs the daemon of a VM that the platform runs, until SIGTERM.
- * @param settingsPath Settings file (JSON).
- * @param argc As main() got it.
- * @param argv As main() got it.
- * @return An exit code.
+ * @brief Runs the daemon on a VM managed by the platform until it has drained after SIGTERM or SIGINT; SIGHUP reloads the settings.
+ * @param settingsPath Path of its settings file (JSON).
+ * @param argc Count of the program's arguments.
+ * @param argv The program's arguments.
+ * @return An ExitCode.
  */
 [[nodiscard]] int runSidecar(const std::string &settingsPath, int argc, char **argv);
 
--- a/src/egretlatch/cli/signal_descriptor.hpp
+++ b/src/egretlatch/cli/signal_descriptor.hpp
@@ -10,11 +10,11 @@
 {
 
 /**
- * @brief Makes signals readable from a descriptor, on the main thread: a handler may call next to nothing.
+ * @brief Blocks signals and opens a descriptor from which the main thread reads them; a signal handler may call hardly any function.
  *
- * To be called before any thread starts, so that all inherit the mask and none is interrupted.
+ * Must be called before any thread starts, so that all threads inherit the signal mask and none is interrupted.
  * @param signals The signals.
- * @return The descriptor, which does not block.
+ * @return A non-blocking descriptor.
  */
 [[nodiscard]] inline int openSignalDescriptor(const std::initializer_list<int> signals)
 {
--- a/src/egretlatch/cli/status_command.cpp
+++ b/src/egretlatch/cli/status_command.cpp
@@ -22,12 +22,12 @@
 constexpr std::size_t hashDigitsShown = 12;
 constexpr double millisecondsPerSecond = 1000.0;
 
-/*! @brief One line of the table. */
+/*! @brief A row of the table. */
 struct FleetRow
 {
     std::uint64_t version{};
     std::string hash;
-    /*! @brief Age of what was heard; nothing if the daemon itself answered. */
+    /*! @brief Age of the version that another daemon reported; nothing if the daemon itself answered. */
     std::optional<std::chrono::milliseconds> age;
 };
 
@@ -37,7 +37,7 @@
 {
     for (const configuration::HeardVersion &heard : report.heard) {
         FleetRow &row = rows.try_emplace(heard.daemon, FleetRow{.version = heard.version, .hash = {}, .age = heard.age}).first->second;
-        // Versions only rise, so the higher of two reports is the later one.
+        // Versions only increase, so the higher of two reported versions is the later one.
         if (heard.version > row.version) {
             row = {.version = heard.version, .hash = {}, .age = heard.age};
         }
--- a/src/egretlatch/cli/status_command.hpp
+++ b/src/egretlatch/cli/status_command.hpp
@@ -13,17 +13,17 @@
 namespace egretlatch::cli
 {
 
-/*! @brief What one daemon answered to a question for its status. */
+/*! @brief Answer of one daemon to a status request. */
 struct DaemonAnswer
 {
     std::string url;
-    /*! @brief Nothing if it gave no answer, or one that is no status. */
+    /*! @brief Nothing if the daemon did not answer, or its answer is not a status document. */
     std::optional<configuration::Report> report;
 
     friend bool operator==(const DaemonAnswer &, const DaemonAnswer &) = default;
 };
 
-/*! @brief What `egretlatch status` is told. */
+/*! @brief Command-line options of `egretlatch status`. */
 struct StatusOptions
 {
     /*! @brief Base URLs of daemons. */
@@ -34,22 +34,22 @@
 /**
  * @brief Reads the configuration part of a daemon's `/status`.
  * @param json The document.
- * @return The report, or nothing for any other document.
+ * @return The report; nothing for any other document.
  */
 [[nodiscard]] std::optional<configuration::Report> parseReport(const QByteArray &json);
 
 /**
- * @brief Puts together what is in force where.
+ * @brief Merges the answers of several daemons into a table of the version in force on each known daemon.
  *
- * A daemon that answered speaks for itself; of the others, what was heard last counts.
- * @param answers The answers of the daemons asked.
- * @return A table for people; `lagging` if any daemon is behind the newest version or gave no answer.
+ * A daemon that answered is shown with its own report; any other with the highest version that an answering daemon received from it.
+ * @param answers The answers of the queried daemons.
+ * @return The table as text; `lagging` if any daemon is behind the newest version or did not answer.
  */
 [[nodiscard]] CommandResult describeFleet(const std::vector<DaemonAnswer> &answers);
 
 /**
  * @brief Runs `egretlatch status`.
- * @param options What the command line says.
+ * @param options The command-line options.
  * @param argc Count of the program's arguments.
  * @param argv The program's arguments.
  * @return An ExitCode.
--- a/src/egretlatch/cli/submit_command.cpp
+++ b/src/egretlatch/cli/submit_command.cpp
@@ -97,7 +97,7 @@
             continue;
         }
         if (waited >= maxWait) {
-            return internal::describeUnfinished(request, submission.isUnsure(), outcome.has_value() ? "an odd answer" : outcome.error().message);
+            return internal::describeUnfinished(request, submission.isUnsure(), outcome.has_value() ? "an unexpected answer" : outcome.error().message);
         }
         const Duration wait = backoff.next(random);
         waited += wait;
--- a/src/egretlatch/cli/submit_command.hpp
+++ b/src/egretlatch/cli/submit_command.hpp
@@ -13,7 +13,7 @@
 namespace egretlatch::cli
 {
 
-/*! @brief Where a command finds the platform: by URL and token, or by a daemon's settings. */
+/*! @brief Location of the platform: its URL and token, or the settings file of a daemon that has them. */
 struct PlatformOptions
 {
     std::string url;
@@ -21,19 +21,19 @@
     std::string tokenPath;
 };
 
-/*! @brief What `egretlatch submit` is told. */
+/*! @brief Command-line options of `egretlatch submit`. */
 struct SubmitOptions
 {
     std::string manifestPath;
     std::uint64_t base{};
     PlatformOptions platform;
-    /*! @brief Id of an earlier run that ended unsure; empty for a new submission. */
+    /*! @brief Id of an earlier submission with an unknown outcome, to resume it; empty for a new one. */
     std::string submission;
     std::string submitter;
     int timeoutSeconds{60};
 };
 
-/*! @brief What a command prints and ends with. */
+/*! @brief Output and exit code of a command. */
 struct CommandResult
 {
     ExitCode code{};
@@ -43,25 +43,25 @@
 };
 
 /**
- * @brief Carries a submission through to its end, or until the attempts are used up.
- * @param request What is submitted.
+ * @brief Repeats the steps of a submission until it is decided or the maximum wait has passed.
+ * @param request The submission.
  * @param port The platform.
  * @param random Source of jitter.
- * @param maxWait Longest time to spend on waits between attempts.
- * @return What to tell the operator.
+ * @param maxWait Maximum total time to wait between attempts.
+ * @return The text to print for the operator.
  */
 [[nodiscard]] CommandResult submit(const configuration::SubmissionRequest &request, PlatformPort &port, RandomSource &random, Duration maxWait);
 
 /**
- * @brief Opens the platform.
- * @param options What the command line says.
- * @return The platform, or null after a line on standard error; needs an application object.
+ * @brief Opens access to the platform; requires an application object.
+ * @param options The command-line options.
+ * @return The platform; null if the options do not suffice, which is reported on standard error.
  */
 [[nodiscard]] std::unique_ptr<PlatformPort> openPlatform(const PlatformOptions &options);
 
 /**
  * @brief Runs `egretlatch submit`.
- * @param options What the command line says.
+ * @param options The command-line options.
  * @param argc Count of the program's arguments.
  * @param argv The program's arguments.
  * @return An ExitCode.
--- a/test/egretlatch/cli/loss_table.cpp
+++ b/test/egretlatch/cli/loss_table.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("losses are summed up by span, kind and reason, the greatest worth of a span first")
+TEST_CASE("losses are summed by interval, kind and reason, with the greatest worth of an interval first")
 {
     LossTable table{std::chrono::seconds{10}};
     table.read(refused("01.000", "read", "1", 0) + refused("09.999", "read", "1", 0) + refused("05.000", "entry", "3", 0) + refused("10.000", "read", "1", 0));
@@ -38,7 +38,7 @@
     CHECK(read < later);
 }
 
-TEST_CASE("inner calls are no losses of their own, and what the logs lack is said")
+TEST_CASE("inner calls are not counted as losses, and missing and unreadable lines are reported")
 {
     LossTable table{std::chrono::seconds{10}};
     table.read(refused("01.000", "winch", "1", 2));
--- a/test/egretlatch/cli/request_timeline.cpp
+++ b/test/egretlatch/cli/request_timeline.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("a story holds a request and its inner calls in the order in which they ended, from logs in any order")
+TEST_CASE("a timeline holds a request and its inner calls in the order in which they ended, from logs in any order")
 {
     RequestTimeline timeline{"r1"};
     timeline.read(logOf({entryLine, otherLine}));
@@ -52,11 +52,11 @@
     CHECK(result.code == ExitCode::success);
     CHECK(result.text.find("    2026-12-02T10:00:01.500Z history-1, inner call ...ab: A request roster/winch was refused") != std::string::npos);
     CHECK(result.text.find("queued") != std::string::npos);
-    CHECK(result.text.find("That was 1200 ms after it came; daemon history-1 was asked last.") != std::string::npos);
+    CHECK(result.text.find("That was 1200 ms after it arrived; it was last sent to daemon history-1.") != std::string::npos);
     CHECK(QJsonDocument::fromJson(QByteArray::fromStdString(timeline.asJson().text))["lines"].toArray().size() == 3);
 }
 
-TEST_CASE("a request of which no line tells went well, unless lines are missing")
+TEST_CASE("a request that no line mentions is reported as successful, together with missing and unreadable lines")
 {
     RequestTimeline timeline{"r2"};
     timeline.read(logOf({entryLine, "not a log line", R"line({"time":"2026-12-02T10:00:02.000Z","event":"lines left out","of":"refused","count":"12"})line"}));
@@ -65,9 +65,9 @@
 
     CHECK(result.code == ExitCode::notFound);
     CHECK(result.text
-          == "no line tells of r2: it went well, or it never came to these daemons\n"
-             "not whole: these logs say that 12 lines were left out\n"
-             "not whole: 1 lines could not be read\n");
+          == "no log line mentions r2: it succeeded, or it never reached these daemons\n"
+             "incomplete: the logs report that 12 lines were left out\n"
+             "incomplete: 1 lines could not be read\n");
 }
 
 TEST_CASE("any bytes can be read as a log")
--- a/test/egretlatch/cli/sessions.cpp
+++ b/test/egretlatch/cli/sessions.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/*! @brief What operators see of a platform under a fixed clock and seed. */
+/*! @brief Records the output of operators' commands under a fixed clock and seed. */
 struct Session
 {
     void print(const std::string &command, const cli::CommandResult &result)
@@ -62,7 +62,7 @@
     report.heard = std::move(heard);
     membership::Member self;
     self.id = {id};
-    // By way of the page that the daemon serves.
+    // Goes through the status document that the daemon serves.
     const std::string page = daemon::statusDocument(membership::Roster{self}, report, {});
     return {.url = "http://" + id, .report = cli::parseReport(QByteArray::fromStdString(page))};
 }
@@ -89,7 +89,7 @@
 
 } // namespace
 
-TEST_CASE("a session of operators who submit and race")
+TEST_CASE("operators submit manifests and race for a version")
 {
     Session session;
     session.submit(session.request(0, "{\"a\":1}", "anna"));
@@ -110,7 +110,7 @@
     fakes::checkGolden("submit-and-race.txt", session.text);
 }
 
-TEST_CASE("a session of operators who read what is in force")
+TEST_CASE("operators read the configuration in force")
 {
     Session session;
     const std::vector<configuration::HeardVersion> heard{{.daemon = {"roster-0"}, .version = 4, .age = std::chrono::milliseconds{700}},
@@ -121,7 +121,7 @@
     fakes::checkGolden("status.txt", session.text);
 }
 
-TEST_CASE("a session of operators who explain refusals")
+TEST_CASE("operators explain stored refusals")
 {
     Session session;
     account::RefusalLedger ledger{{"launch-log-0"}, {17}, {.waiting = 3}};
