--- a/src/egretlatch/cli/explain_command.cpp
+++ b/src/egretlatch/cli/explain_command.cpp
@@ -29,7 +29,7 @@
 
 using BatchVisitor = std::function<bool(const account::AccountBatch &)>;
 
-/*! @brief Reads the stored refusals (the account); stops permanently once a request has failed on every attempt. */
+/*! @brief Reads the stored refusals (the account); stops permanently at the first request that still fails after its retries. */
 class AccountReader
 {
 public:
--- a/src/egretlatch/manifest/call_graph.cpp
+++ b/src/egretlatch/manifest/call_graph.cpp
@@ -45,7 +45,7 @@
         const std::string callPointer = fmt::format("{}/calls/{}", pointer, index);
         const KindSpec *const callee = manifest.findKind(call.service, call.kind);
         if (callee == nullptr) {
-            const std::string found = fmt::format("a call of {}/{}, which is not declared", call.service, call.kind);
+            const std::string found = fmt::format("a call to {}/{}, which is not declared", call.service, call.kind);
             problems.push_back({.pointer = callPointer, .found = found, .allowed = "a declared service and kind"});
         } else if (callee->deadline > kind.deadline) {
             const std::string found =
@@ -57,10 +57,10 @@
 
 using Totals = std::map<KindName, std::chrono::milliseconds>;
 
-// Time that one run and the calls it makes hold slots, one after the other; a call back along a cycle counts nothing.
+// Sums the time for which a run and its calls hold slots one after the other; calls that close a cycle add nothing.
 [[nodiscard]] static std::chrono::milliseconds totalCost(const Manifest &manifest, const KindName &name, Totals &totals)
 {
-    // Beyond any deadline, and small enough that no sum of calls overflows.
+    // Longer than any deadline, and small enough that no sum of calls overflows.
     constexpr std::chrono::milliseconds maxTotal{std::chrono::hours{24}};
     const KindSpec *const kind = manifest.findKind(name.first, name.second);
     const auto [entry, isNew] = totals.try_emplace(name, std::chrono::milliseconds{0});
@@ -91,7 +91,7 @@
     std::set<KindName> visited;
     const KindName self{service.name, kind.name};
     if (reaches(manifest, self, self, visited)) {
-        addWarning(problems, pointer + "/calls", "a cycle back to this kind", "calls that end");
+        addWarning(problems, pointer + "/calls", "a cycle back to this kind", "calls without a cycle");
     }
     if (kind.cost > kind.deadline) {
         addWarning(problems, pointer + "/costMs", fmt::format("{} ms, beyond the deadline", kind.cost.count()), "at most the deadline");
--- a/src/egretlatch/manifest/call_graph.hpp
+++ b/src/egretlatch/manifest/call_graph.hpp
@@ -8,12 +8,12 @@
 {
 
 /**
- * @brief Checks the declared calls between kinds.
+ * @brief Validates the declared calls between kinds.
  *
- * A call of an undeclared kind is an error. A cycle, a deadline shorter than that of a kind it calls,
- * and limits that cannot be met (a cost, or the cost of the whole tree, beyond the deadline; a queue target not below it) are warnings.
+ * A call to an undeclared kind is an error. A cycle, a deadline shorter than that of a called kind,
+ * and limits that cannot be met (a cost, or the total cost of the call tree, beyond the deadline; a queue target not below it) are warnings.
  * @param manifest The manifest to check.
- * @return Every problem, with pointers into the document.
+ * @return Every problem, with its JSON pointer into the document.
  */
 [[nodiscard]] settings::Problems checkCallGraph(const Manifest &manifest);
 
--- a/src/egretlatch/manifest/kind_spec.hpp
+++ b/src/egretlatch/manifest/kind_spec.hpp
@@ -8,34 +8,34 @@
 namespace egretlatch::manifest
 {
 
-/*! @brief Calls of another kind that one run of a kind makes. */
+/*! @brief Calls to another kind that a run of a kind makes. */
 struct InnerCall
 {
     std::string service;
     std::string kind;
-    /*! @brief How many such calls one run makes, at most. */
+    /*! @brief Maximum number of such calls per run. */
     int count{1};
 
     friend bool operator==(const InnerCall &, const InnerCall &) = default;
 };
 
-/*! @brief What the operators declare of one request kind of a service. */
+/*! @brief Operators' declaration of a request kind of a service. */
 struct KindSpec
 {
     std::string name;
-    /*! @brief 0 to 9; requests of a higher priority are shed after those of a lower one. */
+    /*! @brief 0 to 9; requests of a lower priority are shed first. */
     int priority{};
-    /*! @brief What one whole request of this kind earns; 0 for kinds that only other services call. */
+    /*! @brief Value of a completed request of this kind; 0 for kinds that only other services call. */
     double worth{};
-    /*! @brief Whether running it twice does no harm. */
+    /*! @brief True if a request may safely run more than once. */
     bool idempotent{true};
-    /*! @brief Time from arrival to answer where the caller names none. */
+    /*! @brief Default time from arrival to answer, if the caller sets none. */
     std::chrono::milliseconds deadline{1000};
-    /*! @brief Time within which an answer is worth all that it can be. */
+    /*! @brief Time within which an answer has its full worth. */
     std::chrono::milliseconds answerTarget{1000};
-    /*! @brief Time that one run holds a slot of the backend server, as declared; observation overrules it. */
+    /*! @brief Declared time for which a run holds a slot of the backend server; observed times override it. */
     std::chrono::milliseconds cost{10};
-    /*! @brief Attempts over the whole tree of a root of this kind beyond the first of each call. */
+    /*! @brief Attempts beyond the first of each call, over the whole call tree of a root of this kind. */
     int retryBudget{2};
     std::vector<InnerCall> calls;
 
--- a/src/egretlatch/manifest/manifest.cpp
+++ b/src/egretlatch/manifest/manifest.cpp
@@ -26,7 +26,7 @@
     std::string key;
     key.reserve(service.size() + 1 + kind.size());
     key.append(service);
-    // No name has it, so two names put together are never those of another kind.
+    // No name contains a NUL, so no two pairs of names give the same key.
     key.push_back('\0');
     key.append(kind);
     return key;
@@ -50,7 +50,7 @@
 
 const RouteSpec *Manifest::findRoute(const std::string_view host, const std::string_view path) const
 {
-    // Prefixes end with a slash, so only the places of slashes can end one; the last is tried first.
+    // Prefixes end with a slash, so only the positions of slashes are tried, starting from the last for the longest prefix.
     std::size_t slash = path.rfind('/');
     while (slash != std::string_view::npos) {
         const auto found = m_routeIndices.find(internal::routeKey(host, path.substr(0, slash + 1)));
--- a/src/egretlatch/manifest/manifest.hpp
+++ b/src/egretlatch/manifest/manifest.hpp
@@ -20,12 +20,12 @@
 namespace egretlatch::manifest
 {
 
-/*! @brief A checked set of services and request kinds; never changes once built. */
+/*! @brief Immutable set of services, their request kinds and routes. */
 class Manifest
 {
 public:
     /**
-     * @brief Gives the declared services.
+     * @brief Returns the declared services.
      * @return The services, in the order of the document.
      */
     [[nodiscard]] const std::vector<ServiceSpec> &services() const noexcept
@@ -36,7 +36,7 @@
     /**
      * @brief Finds a service by name.
      * @param service Name of the service.
-     * @return The service, or null; valid as long as the manifest.
+     * @return The service, or null if it is not declared; valid for the lifetime of the manifest.
      */
     [[nodiscard]] const ServiceSpec *findService(std::string_view service) const noexcept;
 
@@ -44,13 +44,13 @@
      * @brief Finds a request kind by name.
      * @param service Name of its service.
      * @param kind Name of the kind.
-     * @return The kind, or null; valid as long as the manifest.
+     * @return The kind, or null if it is not declared; valid for the lifetime of the manifest.
      */
     [[nodiscard]] const KindSpec *findKind(std::string_view service, std::string_view kind) const noexcept;
 
     /**
-     * @brief Gives the hash of the document that the manifest was read from.
-     * @return Its contentHash(); empty for a manifest that was put together in code.
+     * @brief Returns the hash of the document from which the manifest was parsed.
+     * @return The contentHash() of the document; empty for a manifest built in code without one.
      */
     [[nodiscard]] const std::string &hash() const noexcept
     {
@@ -64,9 +64,9 @@
 
     /**
      * @brief Finds the route of a plain HTTP request.
-     * @param host Value of its `Host`, with or without a port, in any case.
+     * @param host Value of its `Host` header, with or without a port, in any case.
      * @param path Its path, without a query.
-     * @return Of the host's routes the one with the longest prefix that begins the path, or null.
+     * @return The route of the host with the longest prefix of the path, or null if none matches.
      */
     [[nodiscard]] const RouteSpec *findRoute(std::string_view host, std::string_view path) const;
 
@@ -83,34 +83,34 @@
 
     std::vector<ServiceSpec> m_services;
     std::vector<RouteSpec> m_routes;
-    /*! @brief Place in m_routes by host and prefix; with many routes a walk over all would cost each request its time. */
+    /*! @brief Index into m_routes by host and prefix; with many routes, a linear search would slow down each request. */
     std::unordered_map<std::string, std::size_t> m_routeIndices;
-    /*! @brief Places in m_services and in the service's kinds, by the names of both. */
+    /*! @brief Indices into m_services and the kinds of the service, by the names of service and kind. */
     std::unordered_map<std::string, std::pair<std::size_t, std::size_t>> m_kindIndices;
     CallerLimits m_callerLimits;
     std::string m_hash;
 };
 
-/*! @brief Puts a manifest together in code, as tests and tools do. */
+/*! @brief Builds a manifest in code, for the parser, tests and tools. */
 class ManifestBuilder
 {
 public:
     /**
      * @brief Adds a service.
-     * @param service The service with its kinds.
+     * @param service The service and its kinds.
      * @return This builder.
      */
     ManifestBuilder &addService(ServiceSpec service);
 
     /**
      * @brief Adds a route.
-     * @param route The route; of two with the same host and prefix the first counts.
+     * @param route The route; if two have the same host and prefix, the first is used.
      * @return This builder.
      */
     ManifestBuilder &addRoute(RouteSpec route);
 
     /**
-     * @brief Sets what callers of routes may send.
+     * @brief Sets the limits for callers of routes.
      * @param limits The limits.
      * @return This builder.
      */
@@ -118,14 +118,14 @@
 
     /**
      * @brief Sets the hash of the document.
-     * @param hash Its contentHash().
+     * @param hash The contentHash() of the document.
      * @return This builder.
      */
     ManifestBuilder &setHash(std::string hash);
 
     /**
      * @brief Builds the manifest.
-     * @return The manifest; it is not checked.
+     * @return The manifest, which is not validated.
      */
     [[nodiscard]] std::shared_ptr<const Manifest> build() const;
 
@@ -136,7 +136,7 @@
     std::string m_hash;
 };
 
-/*! @brief A manifest together with the warnings that its document gave. */
+/*! @brief A manifest and the warnings found in its document. */
 struct ParsedManifest
 {
     std::shared_ptr<const Manifest> manifest;
@@ -144,9 +144,9 @@
 };
 
 /**
- * @brief Reads and checks a manifest.
+ * @brief Parses and validates a manifest.
  * @param json Text of the document.
- * @return The manifest with its warnings, or every problem found in the text.
+ * @return The manifest with its warnings; every problem found in the text otherwise.
  */
 [[nodiscard]] tl::expected<ParsedManifest, settings::Problems> parseManifest(const QByteArray &json);
 
--- a/src/egretlatch/manifest/parse_manifest.cpp
+++ b/src/egretlatch/manifest/parse_manifest.cpp
@@ -82,7 +82,7 @@
     reader.list("kinds", true, [&](const QJsonValue &element, const std::string &elementPointer) {
         service.kinds.push_back(readKind(element, elementPointer, problems));
         if (!names.insert(service.kinds.back().name).second) {
-            problems.push_back({.pointer = elementPointer + "/name", .found = "a name given twice", .allowed = "a name of its own"});
+            problems.push_back({.pointer = elementPointer + "/name", .found = "a duplicate name", .allowed = "a unique name"});
         }
     });
     reader.finish();
@@ -123,7 +123,7 @@
     return route;
 }
 
-// A target that does not declare the route's kind would refuse what the route sends it.
+// Reports targets that do not declare the kind of the route: they would refuse its requests.
 static void checkTargets(const Manifest &manifest, Problems &problems)
 {
     for (std::size_t index = 0; index < manifest.routes().size(); ++index) {
@@ -166,7 +166,7 @@
     reader.list("services", true, [&](const QJsonValue &element, const std::string &pointer) {
         ServiceSpec service = internal::readService(element, pointer, problems);
         if (!names.insert(service.name).second) {
-            problems.push_back({.pointer = pointer + "/name", .found = "a name given twice", .allowed = "a name of its own"});
+            problems.push_back({.pointer = pointer + "/name", .found = "a duplicate name", .allowed = "a unique name"});
         }
         builder.addService(std::move(service));
     });
--- a/src/egretlatch/manifest/route_spec.hpp
+++ b/src/egretlatch/manifest/route_spec.hpp
@@ -9,40 +9,40 @@
 namespace egretlatch::manifest
 {
 
-/*! @brief A service that a route leads to. */
+/*! @brief A service to which a route sends requests. */
 struct RouteTarget
 {
     std::string service;
-    /*! @brief Its share of the route's requests is its weight over the sum of the weights. */
+    /*! @brief Relative weight; the target gets its weight divided by the sum of all weights as its share of the requests. */
     int weight{1};
 
     friend bool operator==(const RouteTarget &, const RouteTarget &) = default;
 };
 
-/*! @brief Which plain HTTP requests are of which kind, for callers that name neither service nor kind. */
+/*! @brief Maps plain HTTP requests to a kind, for callers that name neither service nor kind. */
 struct RouteSpec
 {
     std::string name;
-    /*! @brief Value of `Host` without the port, in lower case. */
+    /*! @brief Value of the `Host` header without the port, in lower case. */
     std::string host;
-    /*! @brief Beginning of the path; begins and ends with a slash. */
+    /*! @brief Prefix of the path; begins and ends with a slash. */
     std::string prefix;
-    /*! @brief The kind, declared at each target. */
+    /*! @brief Name of the kind; each target declares it. */
     std::string kind;
-    /*! @brief At least one. */
+    /*! @brief Services of the route; at least one has a weight above zero. */
     std::vector<RouteTarget> targets;
 
     friend bool operator==(const RouteSpec &, const RouteSpec &) = default;
 };
 
-/*! @brief What callers of routes may send, and how long they may take. */
+/*! @brief Size and time limits for callers of routes. */
 struct CallerLimits
 {
     std::uint32_t headerBytes{16U * 1024U};
     std::uint64_t bodyBytes{8ULL * 1024U * 1024U};
-    /*! @brief From the first byte of a request to the end of its header. */
+    /*! @brief Maximum time from the first byte of a request to the end of its header. */
     std::chrono::milliseconds headerTimeout{5000};
-    /*! @brief Without a request on an open connection. */
+    /*! @brief Maximum time without a request on an open connection. */
     std::chrono::milliseconds idleTimeout{30'000};
 
     friend bool operator==(const CallerLimits &, const CallerLimits &) = default;
--- a/src/egretlatch/manifest/service_spec.hpp
+++ b/src/egretlatch/manifest/service_spec.hpp
@@ -10,17 +10,17 @@
 namespace egretlatch::manifest
 {
 
-/*! @brief What the operators declare of one service. */
+/*! @brief Operators' declaration of a service. */
 struct ServiceSpec
 {
     std::string name;
-    /*! @brief Requests that one backend server runs at a time. */
+    /*! @brief Requests that a backend server runs concurrently. */
     int slots{};
-    /*! @brief Connections that one backend server takes. */
+    /*! @brief Connections that a backend server accepts. */
     int connections{};
-    /*! @brief Time that a request may wait for a slot before the daemon sheds. */
+    /*! @brief Target queueing delay: time for which a request may wait for a slot before the daemon sheds load. */
     std::chrono::milliseconds queueTarget{20};
-    /*! @brief Retries per first attempt that the service takes, over all callers together. */
+    /*! @brief Retries per first attempt that the service accepts, over all callers together. */
     double retryRatio{0.1};
     std::vector<KindSpec> kinds;
 
--- a/src/egretlatch/settings/common_readers.hpp
+++ b/src/egretlatch/settings/common_readers.hpp
@@ -7,10 +7,10 @@
 namespace egretlatch::settings
 {
 
-/*! @brief Reads `policy`; `adaptive` if it is missing. */
+/*! @brief Reads `policy`; defaults to `adaptive`. */
 [[nodiscard]] Policy readPolicy(JsonObjectReader &reader);
 
-/*! @brief Reads `logLevel`; `info` if it is missing. */
+/*! @brief Reads `logLevel`; defaults to `info`. */
 [[nodiscard]] LogLevel readLogLevel(JsonObjectReader &reader);
 
 } // namespace egretlatch::settings
--- a/src/egretlatch/settings/daemon_settings.cpp
+++ b/src/egretlatch/settings/daemon_settings.cpp
@@ -32,9 +32,9 @@
 
 static void checkKey(JsonObjectReader &reader, const std::string &name, const std::string &key)
 {
-    // The text itself is not shown: it may be a secret with a letter too many.
+    // The text itself is not shown: it may be a secret key with one character too many.
     if (!key.empty() && !isValidKey(key)) {
-        reader.report(name, "a text of another form", "a key as `egretlatch keys` prints it");
+        reader.report(name, "text that is not a key", "a key as `egretlatch keys` prints it");
     }
 }
 
@@ -49,7 +49,7 @@
     reader.list("accepted", true, [&](const QJsonValue &element, const std::string & /*elementPointer*/) {
         keys.accepted.push_back(element.toString().toStdString());
         if (!isValidKey(keys.accepted.back())) {
-            reader.report("accepted", "a text of another form", "keys as `egretlatch keys` prints them");
+            reader.report("accepted", "text that is not a key", "keys as `egretlatch keys` prints them");
         }
     });
     if (keys.accepted.empty()) {
@@ -68,7 +68,7 @@
         return isOn ? std::optional{read} : std::nullopt;
     }
     if (isOn) {
-        reader.report("peerKeys", "nothing", "keys, or \"peerEncryption\": \"off\" on a network that is trusted");
+        reader.report("peerKeys", "nothing", "keys, or \"peerEncryption\": \"off\" on a trusted network");
     }
     return std::nullopt;
 }
@@ -77,7 +77,7 @@
 {
     std::string address = reader.text("listenAddress", "127.0.0.1");
     if (QHostAddress{QString::fromStdString(address)}.isNull()) {
-        reader.report("listenAddress", "\"" + address + "\"", "an IP number");
+        reader.report("listenAddress", "\"" + address + "\"", "an IP address");
     }
     return address;
 }
@@ -134,7 +134,7 @@
     settings.logLevel = readLogLevel(reader);
     settings.seed = internal::readSeed(reader);
     if (settings.callerPort == settings.peerPort) {
-        reader.report("peerPort", "the same port as callerPort", "a port of its own");
+        reader.report("peerPort", "the same port as callerPort", "a different port");
     }
     reader.finish();
     if (hasError(problems)) {
--- a/src/egretlatch/settings/daemon_settings.hpp
+++ b/src/egretlatch/settings/daemon_settings.hpp
@@ -18,71 +18,71 @@
 namespace egretlatch::settings
 {
 
-/*! @brief Another daemon that this one can turn to at its start. */
+/*! @brief Another daemon that this one contacts when it starts. */
 struct PeerSettings
 {
     DaemonId id;
-    /*! @brief Address of its peer socket, as `tcp://ADDRESS:PORT`. */
+    /*! @brief Address of its socket for other daemons, as `tcp://ADDRESS:PORT`. */
     std::string endpoint;
 
     friend bool operator==(const PeerSettings &, const PeerSettings &) = default;
 };
 
-/*! @brief How much of the design decides; everything but `adaptive` is a baseline to measure against. */
+/*! @brief Admission policy; all policies but `adaptive` are baselines for measurements. */
 enum class Policy {
-    /*! @brief Everything goes through at once. */
+    /*! @brief Admits every call immediately. */
     none,
-    /*! @brief As many calls at once as the server has slots, first come first served. */
+    /*! @brief Admits as many concurrent calls as the server has slots, in order of arrival. */
     staticLimit,
-    /*! @brief A static limit, and the queue ordered by priority. */
+    /*! @brief Like `staticLimit`, with the queue ordered by priority. */
     priorityOnly,
-    /*! @brief The whole design. */
+    /*! @brief Uses adaptive admission control with all mechanisms. */
     adaptive,
 };
 
-/*! @brief What one daemon reads from its settings file at its start. */
+/*! @brief Settings that a daemon reads from its settings file when it starts. */
 struct DaemonSettings
 {
     DaemonId id;
     std::string region;
     std::string dataCentre;
-    /*! @brief Address on which callers, and the backend server's inner calls, reach this daemon. */
+    /*! @brief Address on which this daemon accepts callers and the inner calls of its backend server. */
     std::string listenAddress;
     std::uint16_t callerPort{};
     /*! @brief Port of the socket for other daemons. */
     std::uint16_t peerPort{};
-    /*! @brief Base URL of the backend server beside this daemon. */
+    /*! @brief Base URL of this daemon's backend server. */
     std::string backendUrl;
     std::vector<PeerSettings> peers;
-    /*! @brief Keys of the connections between daemons; nothing where their encryption is switched off. */
+    /*! @brief Keys of the connections between daemons; nothing if their encryption is off. */
     std::optional<PeerKeys> peerKeys;
-    /*! @brief Manifest to start with where no platform is set; empty otherwise. */
+    /*! @brief Manifest to start with if no platform is set; empty otherwise. */
     std::string manifestFile;
     /*! @brief Base URL of the platform's table service and object store; empty for none. */
     std::string platformUrl;
-    /*! @brief File with the token that the platform asks for; empty for none. */
+    /*! @brief File with the token for the platform; empty for none. */
     std::string platformTokenFile;
-    /*! @brief File with the token that operators' reads need. */
+    /*! @brief File with the token that is required to read the operators' pages. */
     std::string operatorTokenFile;
-    /*! @brief Whether operators' reads need no token, for a trusted network. */
+    /*! @brief True if the operators' pages require no token, for a trusted network. */
     bool isOpenToOperators{};
-    /*! @brief Where spans go, as OTLP/JSON over HTTP; empty for none. */
+    /*! @brief Base URL of the collector to which spans are exported as OTLP/JSON over HTTP; empty for none. */
     std::string collectorUrl;
     std::int64_t maxBodyBytes{};
     Policy policy{Policy::adaptive};
-    /*! @brief Whether the entry owns request keys that name no owner; safe only with a single entry that is never restarted. */
+    /*! @brief True if the entry daemon owns request keys that name no owner; safe only with a single entry daemon that is never restarted. */
     bool ownsKeysWithoutOwner{};
     LogLevel logLevel{LogLevel::info};
-    /*! @brief Seed of the random source; without one, the machine's entropy. */
+    /*! @brief Seed of the random source; the machine's entropy is used if there is none. */
     std::optional<std::uint64_t> seed;
 
     friend bool operator==(const DaemonSettings &, const DaemonSettings &) = default;
 };
 
 /**
- * @brief Reads and checks the settings of a daemon.
+ * @brief Parses and validates the settings of a daemon.
  * @param json Text of the settings file.
- * @return The settings, or every problem found in the text.
+ * @return The settings; every problem found in the text otherwise.
  */
 [[nodiscard]] tl::expected<DaemonSettings, Problems> parseDaemonSettings(const QByteArray &json);
 
--- a/src/egretlatch/settings/fleet_bounds.hpp
+++ b/src/egretlatch/settings/fleet_bounds.hpp
@@ -6,16 +6,16 @@
 namespace egretlatch::settings
 {
 
-/*! @brief What the platform asks of the fleet; the defaults are those of a deployment that asks for little. */
+/*! @brief Bounds that the platform sets for the fleet; the defaults suit a deployment with loose requirements. */
 struct FleetBounds
 {
-    /*! @brief From the signal to end to the end that is not asked. */
+    /*! @brief Time from the termination signal until the process is killed. */
     std::chrono::milliseconds grace{6000};
-    /*! @brief From the word that a backend server leaves to the last new request at it. */
+    /*! @brief Time from the report that a backend server is leaving until the last new request is sent to it. */
     std::chrono::milliseconds drain{2000};
-    /*! @brief Repeats for each request that a service takes from the whole fleet. */
+    /*! @brief Retries per request that a service accepts from the whole fleet. */
     double retryRatio{0.1};
-    /*! @brief Repeats beyond that share, for a service and the whole fleet. */
+    /*! @brief Retries per service beyond that ratio, for the whole fleet together. */
     double retrySlack{10.0};
 
     friend bool operator==(const FleetBounds &, const FleetBounds &) = default;
--- a/src/egretlatch/settings/json_object_reader.hpp
+++ b/src/egretlatch/settings/json_object_reader.hpp
@@ -17,7 +17,7 @@
 namespace egretlatch::settings
 {
 
-/*! @brief The numbers that may stand in a place, both ends included. */
+/*! @brief Range of allowed numbers; both bounds are included. */
 template<typename Number>
 struct Range
 {
@@ -26,9 +26,9 @@
 };
 
 /**
- * @brief Reads the members of one JSON object and collects everything that is wrong with them.
+ * @brief Reads the members of a JSON object and collects all problems found in them.
  *
- * Each getter gives a usable value even where the member is wrong, so that one pass finds every problem.
+ * Each getter returns a usable value even if the member is invalid, so that one pass finds every problem.
  * The caller must call finish() once all members have been read.
  */
 class JsonObjectReader
@@ -38,95 +38,95 @@
 
     /**
      * @brief Builds a reader.
-     * @param value The value; anything but an object is a problem.
+     * @param value The value; a problem is reported if it is not an object.
      * @param pointer JSON pointer of the value.
-     * @param problems Collects what is found; must outlive the reader.
+     * @param problems Receives the problems; must outlive the reader.
      */
     JsonObjectReader(const QJsonValue &value, std::string pointer, Problems &problems);
 
     /**
      * @brief Reads text.
      * @param key Name of the member.
-     * @param fallback Value if it is missing; without one, the member is required.
-     * @return The text, or an empty one if it is wrong.
+     * @param fallback Value if the member is missing; without one, the member is required.
+     * @return The text; empty if the member is invalid.
      */
     [[nodiscard]] std::string text(std::string_view key, const std::optional<std::string> &fallback = std::nullopt);
 
     /**
-     * @brief Reads one of a few words.
+     * @brief Reads one of several allowed texts.
      * @param key Name of the member.
-     * @param words The words allowed.
-     * @param fallback Value if it is missing; without one, the member is required.
-     * @return The word, or the first allowed one if it is wrong.
+     * @param choices The allowed texts.
+     * @param fallback Value if the member is missing; without one, the member is required.
+     * @return The text; the first of `choices` if the member is invalid.
      */
     [[nodiscard]] std::string choice(std::string_view key, const std::vector<std::string> &choices, const std::optional<std::string> &fallback = std::nullopt);
 
     /**
-     * @brief Reads a whole number.
+     * @brief Reads an integer.
      * @param key Name of the member.
-     * @param range The numbers allowed.
-     * @param fallback Value if it is missing; without one, the member is required.
-     * @return The number, or the least allowed one if it is wrong.
+     * @param range The allowed numbers.
+     * @param fallback Value if the member is missing; without one, the member is required.
+     * @return The number; the minimum of the range if the member is invalid.
      */
     [[nodiscard]] std::int64_t integer(std::string_view key, Range<std::int64_t> range, std::optional<std::int64_t> fallback = std::nullopt);
 
     /**
      * @brief Reads a number.
      * @param key Name of the member.
-     * @param range The numbers allowed.
-     * @param fallback Value if it is missing; without one, the member is required.
-     * @return The number, or the least allowed one if it is wrong.
+     * @param range The allowed numbers.
+     * @param fallback Value if the member is missing; without one, the member is required.
+     * @return The number; the minimum of the range if the member is invalid.
      */
     [[nodiscard]] double number(std::string_view key, Range<double> range, std::optional<double> fallback = std::nullopt);
 
     /**
-     * @brief Reads a truth value.
+     * @brief Reads a Boolean.
      * @param key Name of the member.
-     * @param fallback Value if it is missing; without one, the member is required.
-     * @return The value, or false if it is wrong.
+     * @param fallback Value if the member is missing; without one, the member is required.
+     * @return The value; false if the member is invalid.
      */
     [[nodiscard]] bool flag(std::string_view key, std::optional<bool> fallback = std::nullopt);
 
     /**
-     * @brief Reads a span of time, written as a whole number of milliseconds.
+     * @brief Reads a duration, written as an integer number of milliseconds.
      * @param key Name of the member.
-     * @param range The spans allowed.
-     * @param fallback Value if it is missing; without one, the member is required.
-     * @return The span, or the least allowed one if it is wrong.
+     * @param range The allowed durations, in milliseconds.
+     * @param fallback Value if the member is missing; without one, the member is required.
+     * @return The duration; the minimum of the range if the member is invalid.
      */
     [[nodiscard]] std::chrono::milliseconds milliseconds(std::string_view key, Range<std::int64_t> range, std::optional<std::int64_t> fallback = std::nullopt);
 
     /**
      * @brief Reads a list.
      * @param key Name of the member.
-     * @param required Whether it must be there.
-     * @param read Called for each element with its JSON pointer.
+     * @param required True if the member must be present.
+     * @param read Called with each element and its JSON pointer.
      */
     void list(std::string_view key, bool required, const ElementReader &read);
 
     /**
-     * @brief Gives a member that is an object of its own.
+     * @brief Returns a member, such as a nested object, without checking its type.
      * @param key Name of the member.
-     * @return The value, or nothing if it is missing.
+     * @return The value; nothing if the member is missing.
      */
     [[nodiscard]] std::optional<QJsonValue> member(std::string_view key);
 
     /**
-     * @brief Gives the JSON pointer of a member.
+     * @brief Returns the JSON pointer of a member.
      * @param key Name of the member.
      * @return The pointer, escaped as in RFC 6901.
      */
     [[nodiscard]] std::string pointerTo(std::string_view key) const;
 
-    /*! @brief Reports each member that no getter asked for. */
+    /*! @brief Reports each member that no getter has read as an unknown key. */
     void finish();
 
     /**
-     * @brief Reports a problem of a member.
+     * @brief Reports a problem with a member.
      * @param key Name of the member.
-     * @param found What stands there.
-     * @param allowed What may stand there.
-     * @param severity Whether the document can still be used.
+     * @param found Description of the present value.
+     * @param allowed Description of the allowed values.
+     * @param severity Severity; a document with an error cannot be used.
      */
     void report(std::string_view key, std::string found, std::string allowed, Severity severity = Severity::error);
 
@@ -141,7 +141,7 @@
 };
 
 /**
- * @brief Describes a JSON value for a person.
+ * @brief Describes a JSON value in readable text.
  * @param value Any value.
  * @return A short text such as `"abc"`, `12`, `a list`.
  */
@@ -150,7 +150,7 @@
 /**
  * @brief Parses JSON text.
  * @param bytes The text.
- * @param problems Gets a problem with the byte offset if the text is not JSON.
+ * @param problems Receives a problem with the byte offset if the text is not JSON.
  * @return The document's value; null if the text is not JSON.
  */
 [[nodiscard]] QJsonValue parseJson(const QByteArray &bytes, Problems &problems);
--- a/src/egretlatch/settings/mechanism.hpp
+++ b/src/egretlatch/settings/mechanism.hpp
@@ -8,29 +8,29 @@
 namespace egretlatch::settings
 {
 
-/*! @brief A part of the decisions that an experiment can do without, to learn what it is worth. */
+/*! @brief A mechanism of overload control that an experiment can disable to measure its effect. */
 enum class Mechanism {
-    /*! @brief Roots are ordered by what they cost a service as a whole. */
+    /*! @brief Orders roots by the total cost that they cause at a service. */
     wholeCosts,
-    /*! @brief Inner calls of admitted roots are not refused for lack of room. */
+    /*! @brief Does not refuse inner calls of admitted roots for lack of capacity. */
     keptInnerCalls,
-    /*! @brief Announced slots are used whatever a server's failures suggest. */
+    /*! @brief Uses the announced slots regardless of a server's failures. */
     trustedSlots,
-    /*! @brief Queues may take a while to drain, however short the runs are. */
+    /*! @brief Allows queues a minimum drain time, however short the runs are. */
     longQueues,
-    /*! @brief Levels follow demand slowly enough for servers with few slots. */
+    /*! @brief Adjusts admission levels slowly enough for servers with few slots. */
     slowLevels,
-    /*! @brief Roots are refused at their entry by the levels down their chain. */
+    /*! @brief Refuses roots at their entry daemon according to the admission levels of downstream services. */
     entryRefusals,
-    /*! @brief Servers are chosen by what they and their daemons have shown of themselves. */
+    /*! @brief Chooses servers by the observed behaviour of the servers and their daemons. */
     serverKnowledge,
-    /*! @brief What has failed is sent again within the fleet's bound. */
+    /*! @brief Retries failed requests within the retry budget of the fleet. */
     retries,
-    /*! @brief Requests of one connection run beside one another. */
+    /*! @brief Runs requests of one connection concurrently. */
     overlap,
 };
 
-/*! @brief What an experiment does without; empty in operation. */
+/*! @brief Mechanisms that an experiment disables; empty in production. */
 using DisabledMechanisms = std::set<Mechanism>;
 
 /*! @brief A mechanism and its name in settings. */
--- a/src/egretlatch/settings/peer_keys.hpp
+++ b/src/egretlatch/settings/peer_keys.hpp
@@ -7,19 +7,19 @@
 namespace egretlatch::settings
 {
 
-/*! @brief The CURVE keys by which daemons know one another, as Z85 text. */
+/*! @brief CURVE keys with which daemons authenticate each other, as Z85 text. */
 struct PeerKeys
 {
     std::string publicKey;
     std::string secretKey;
-    /*! @brief Public keys that are let in and connected to; several while keys are changed. */
+    /*! @brief Public keys accepted for incoming and outgoing connections; several during a key rotation. */
     std::vector<std::string> accepted;
 
     friend bool operator==(const PeerKeys &, const PeerKeys &) = default;
 };
 
 /**
- * @brief Says whether a text has the form of a key.
+ * @brief Checks that a text has the format of a key.
  * @param text Any text.
  * @return True for 40 characters of the Z85 alphabet.
  */
--- a/src/egretlatch/settings/problem.hpp
+++ b/src/egretlatch/settings/problem.hpp
@@ -7,21 +7,21 @@
 namespace egretlatch::settings
 {
 
-/*! @brief Whether a problem keeps a document from being used. */
+/*! @brief Severity of a problem; a document with an error cannot be used. */
 enum class Severity {
     warning,
     error,
 };
 
-/*! @brief Something wrong in a JSON document that a person wrote. */
+/*! @brief A problem in a JSON document written by a person. */
 struct Problem
 {
     Severity severity{Severity::error};
-    /*! @brief Where it is, as a JSON pointer (RFC 6901). */
+    /*! @brief Location of the problem, as a JSON pointer (RFC 6901). */
     std::string pointer;
-    /*! @brief What stands there. */
+    /*! @brief Description of the present value. */
     std::string found;
-    /*! @brief What may stand there. */
+    /*! @brief Description of the allowed values. */
     std::string allowed;
 
     friend bool operator==(const Problem &, const Problem &) = default;
@@ -30,14 +30,14 @@
 using Problems = std::vector<Problem>;
 
 /**
- * @brief Tells whether any problem is an error.
+ * @brief Checks for problems that are errors.
  * @param problems The problems of one document.
  * @return True if the document cannot be used.
  */
 [[nodiscard]] bool hasError(const Problems &problems);
 
 /**
- * @brief Writes a problem as one line for people.
+ * @brief Formats a problem as one readable line.
  * @param file Name of the document.
  * @param problem The problem.
  * @return `file: pointer: error: found X, allowed Y`.
--- a/src/egretlatch/settings/sidecar_settings.cpp
+++ b/src/egretlatch/settings/sidecar_settings.cpp
@@ -20,7 +20,7 @@
     const std::string text = reader.text(key);
     const std::optional<net::Endpoint> endpoint = net::Endpoint::parse(text);
     if (!endpoint.has_value()) {
-        reader.report(key, "\"" + text + "\"", "ADDRESS:PORT with an IP number");
+        reader.report(key, "\"" + text + "\"", "ADDRESS:PORT with an IP address");
     }
     return endpoint.value_or(net::Endpoint{});
 }
@@ -39,7 +39,7 @@
     return static_cast<std::uint16_t>(ports.front());
 }
 
-[[nodiscard]] static DisabledMechanisms readSwitchedOff(JsonObjectReader &reader)
+[[nodiscard]] static DisabledMechanisms readDisabledMechanisms(JsonObjectReader &reader)
 {
     DisabledMechanisms disabledMechanisms;
     reader.list("switchedOff", false, [&](const QJsonValue &element, const std::string & /*pointer*/) {
@@ -56,7 +56,7 @@
     return disabledMechanisms;
 }
 
-// The bounds as texts of the form `name=value`, whatever the type of the value.
+// Reads the bounds as texts of the form `name=value`, whatever the type of the value.
 [[nodiscard]] static std::vector<std::string> readBoundTexts(JsonObjectReader &reader, Problems &problems)
 {
     std::vector<std::string> texts;
@@ -102,7 +102,7 @@
     }
     settings.boundTexts = internal::readBoundTexts(reader, problems);
     settings.policy = readPolicy(reader);
-    settings.disabledMechanisms = internal::readSwitchedOff(reader);
+    settings.disabledMechanisms = internal::readDisabledMechanisms(reader);
     settings.logLevel = readLogLevel(reader);
     if (hasError(problems)) {
         return tl::unexpected{problems};
--- a/src/egretlatch/settings/sidecar_settings.hpp
+++ b/src/egretlatch/settings/sidecar_settings.hpp
@@ -20,7 +20,7 @@
 namespace egretlatch::settings
 {
 
-/*! @brief Settings of a daemon on a VM that the platform runs; it gives all addresses. */
+/*! @brief Settings of a daemon on a VM managed by the platform, which assigns all addresses. */
 struct SidecarSettings
 {
     DaemonId id;
@@ -28,28 +28,28 @@
     std::string dataCentre;
     /*! @brief Service of the backend server on this VM. */
     std::string service;
-    /*! @brief IP number of the VM. */
+    /*! @brief IP address of the VM. */
     std::string address;
-    /*! @brief Where callers on this VM send their requests. */
+    /*! @brief Endpoint to which callers on this VM send their requests. */
     net::Endpoint callers;
-    /*! @brief Where the platform asks whether callers may be sent here. */
+    /*! @brief Endpoint of the readiness check, by which the platform decides to send callers here. */
     net::Endpoint readiness;
-    /*! @brief Where operators read the metrics; nothing for no address but that of the readiness. */
+    /*! @brief Endpoint from which operators read the metrics; nothing if only the readiness endpoint serves them. */
     std::optional<net::Endpoint> metrics;
-    /*! @brief Where the backend server on this VM reports. */
+    /*! @brief Endpoint to which the backend server on this VM sends its reports. */
     net::Endpoint serverReports;
-    /*! @brief Where the backend server on this VM listens. */
+    /*! @brief Endpoint on which the backend server on this VM listens. */
     net::Endpoint backend;
-    /*! @brief Where the platform's store listens. */
+    /*! @brief Endpoint on which the platform's store listens. */
     net::Endpoint store;
-    /*! @brief Port of the connections between daemons. */
+    /*! @brief Port for connections between daemons. */
     std::uint16_t peerPort{};
-    /*! @brief Where other daemons reach this one, if a translated or relayed address stands in front of it. */
+    /*! @brief Endpoint on which other daemons reach this one, if its address is translated or relayed. */
     std::optional<net::Endpoint> announcedPeer;
-    /*! @brief What the platform asks of the fleet, in its own words. */
+    /*! @brief Bounds that the platform sets for the fleet, as `name=value` texts in the platform's notation. */
     std::vector<std::string> boundTexts;
     Policy policy{Policy::adaptive};
-    /*! @brief For experiments alone; operators leave it out. */
+    /*! @brief Mechanisms to disable; for experiments only, operators leave it out. */
     DisabledMechanisms disabledMechanisms;
     LogLevel logLevel{LogLevel::info};
 
@@ -57,9 +57,9 @@
 };
 
 /**
- * @brief Reads and checks the settings.
- * @param json Text of the file; unknown fields are passed over, since the platform may add some.
- * @return The settings, or every problem found in the text.
+ * @brief Parses and validates the settings.
+ * @param json Text of the settings file; unknown fields are ignored, since the platform may add some.
+ * @return The settings; every problem found in the text otherwise.
  */
 [[nodiscard]] tl::expected<SidecarSettings, Problems> parseSidecarSettings(const QByteArray &json);
 
--- a/test/egretlatch/manifest/call_graph.cpp
+++ b/test/egretlatch/manifest/call_graph.cpp
@@ -29,13 +29,13 @@
 
 } // namespace
 
-TEST_CASE("a deadline below the cost of the whole tree is warned of")
+TEST_CASE("a deadline below the cost of the call tree gives a warning")
 {
     CHECK(hasWarning(makeManifest(89, 5), "/services/0/kinds/0/deadlineMs"));
     CHECK_FALSE(hasWarning(makeManifest(90, 5), "/services/0/kinds/0/deadlineMs"));
 }
 
-TEST_CASE("a queue target that no request of a kind can wait for is warned of")
+TEST_CASE("a queue target that is not below the deadline of each kind gives a warning")
 {
     CHECK(hasWarning(makeManifest(100, 25), "/services/0/queueTargetMs"));
     CHECK_FALSE(hasWarning(makeManifest(100, 24), "/services/0/queueTargetMs"));
--- a/test/egretlatch/manifest/parse_manifest.cpp
+++ b/test/egretlatch/manifest/parse_manifest.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("a manifest gives its services and kinds")
+TEST_CASE("services and kinds of a manifest are found by name")
 {
     const auto parsed = parseManifest(R"({"services": [{"name": "roster", "slots": 10, "connections": 160, "kinds": [
         {"name": "read", "priority": 9, "worth": 8, "idempotent": true, "deadlineMs": 500, "costMs": 8}]}]})");
@@ -33,14 +33,14 @@
     CHECK(parsed->manifest->findService("launch") == nullptr);
 }
 
-TEST_CASE("the same text has the same hash, another text another")
+TEST_CASE("the hash of a manifest depends on its text alone")
 {
     const QByteArray text = R"({"services": []})";
     CHECK(parseManifest(text)->manifest->hash() == parseManifest(text)->manifest->hash());
     CHECK(parseManifest(text)->manifest->hash() != parseManifest(text + " ")->manifest->hash());
 }
 
-TEST_CASE("all errors of a manifest are found at once")
+TEST_CASE("all errors of a manifest are reported at once")
 {
     const auto parsed = parseManifest(R"({"services": [
         {"name": "a", "slots": 0, "connections": 1, "kinds": [{"name": "k", "priority": 12, "worth": -1, "idempotent": "yes"}]},
@@ -61,7 +61,7 @@
     }
 }
 
-TEST_CASE("a cycle and a deadline shorter than that of a kind it calls are warnings")
+TEST_CASE("a cycle and a deadline shorter than that of a called kind give warnings")
 {
     const auto parsed = parseManifest(R"({"services": [{"name": "a", "slots": 1, "connections": 1, "kinds": [
         {"name": "k", "priority": 1, "worth": 1, "idempotent": true, "deadlineMs": 100, "calls": [{"service": "a", "kind": "l"}]},
@@ -73,7 +73,7 @@
     CHECK(find(parsed->warnings, "/services/0/kinds/1/calls") != nullptr);
 }
 
-TEST_CASE("any text gives a manifest or problems")
+TEST_CASE("any text results in a manifest or an error")
 {
     CHECK(rc::check([](const std::string &text) {
         const auto parsed = parseManifest(QByteArray::fromStdString(text));
--- a/test/egretlatch/settings/daemon_settings.cpp
+++ b/test/egretlatch/settings/daemon_settings.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("settings with all that is needed are read")
+TEST_CASE("complete settings are parsed")
 {
     const auto settings = parseDaemonSettings(R"({
         "id": "launch-log-0", "dataCentre": "dc1", "callerPort": 8000, "peerPort": 8001, "backendUrl": "http://127.0.0.1:9000",
@@ -38,7 +38,7 @@
     CHECK(settings->peerKeys->accepted.size() == 1);
 }
 
-TEST_CASE("encryption between daemons is off only where the settings say so")
+TEST_CASE("encryption between daemons is off only if the settings turn it off explicitly")
 {
     const QByteArray start = R"({"id": "a", "dataCentre": "dc1", "callerPort": 1, "peerPort": 2, "backendUrl": "http://127.0.0.1:9000")";
 
@@ -51,9 +51,9 @@
     CHECK_FALSE(off->peerKeys.has_value());
 }
 
-TEST_CASE("a key of the wrong form is a problem, and is not shown")
+TEST_CASE("a malformed key is reported without its text")
 {
-    // A secret key that was copied with a letter too many must not end up in a terminal's history or a log.
+    // Guards against a secret key in a terminal's history or a log, after it was copied with one character too many.
     const auto settings = parseDaemonSettings(R"({
         "id": "a", "dataCentre": "dc1", "callerPort": 1, "peerPort": 2, "backendUrl": "http://127.0.0.1:9000",
         "peerKeys": {"publicKey": "short", "secretKey": "abcdefghijabcdefghijabcdefghijabcdefghijX", "accepted": []}
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE("all problems are found at once, each with its place")
+TEST_CASE("all problems are reported at once, each with its JSON pointer")
 {
     const auto settings = parseDaemonSettings(R"({
         "id": 5, "callerPort": 70000, "peerPort": 8001, "backendUrl": "localhost", "policy": "fast", "colour": "red",
@@ -84,7 +84,7 @@
     }
 }
 
-TEST_CASE("text that is not JSON names the byte")
+TEST_CASE("text that is not JSON is reported with the byte offset of the error")
 {
     const auto settings = parseDaemonSettings(R"({"id": )");
 
@@ -92,7 +92,7 @@
     CHECK(settings.error().front().found.find("byte 7") != std::string::npos);
 }
 
-TEST_CASE("any text gives settings or problems")
+TEST_CASE("any text results in settings or an error")
 {
     CHECK(rc::check([](const std::string &text) {
         const auto settings = parseDaemonSettings(QByteArray::fromStdString(text));
--- a/test/egretlatch/settings/sidecar_settings.cpp
+++ b/test/egretlatch/settings/sidecar_settings.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("settings of a VM are read, and fields that are new are passed over")
+TEST_CASE("settings of a VM are parsed and unknown fields ignored")
 {
     const auto settings = settings::parseSidecarSettings(validJson);
     REQUIRE(settings.has_value());
@@ -34,7 +34,7 @@
     CHECK(std::count(settings->boundTexts.begin(), settings->boundTexts.end(), "budget_slack=47") == 1);
 }
 
-TEST_CASE("an address that stands in front of the one for other daemons is announced in its place")
+TEST_CASE("the announced peer address is optional and must be an endpoint")
 {
     CHECK(!settings::parseSidecarSettings(validJson)->announcedPeer.has_value());
     const QByteArray relayed = QByteArray{validJson}.replace(R"("new":1)", R"("announcedPeer":"10.0.0.7:99")");
@@ -42,7 +42,7 @@
     CHECK(hasProblemAt(QByteArray{validJson}.replace(R"("new":1)", R"("announcedPeer":"elsewhere")"), "/announcedPeer"));
 }
 
-TEST_CASE("an experiment names what it does without, and a name that is none is told")
+TEST_CASE("disabled mechanisms are parsed by name and unknown names reported")
 {
     CHECK(settings::parseSidecarSettings(validJson)->disabledMechanisms.empty());
     const QByteArray without = QByteArray{validJson}.replace(R"("new":1)", R"("switchedOff":["whole-costs","retries"])");
@@ -51,14 +51,14 @@
     CHECK(hasProblemAt(QByteArray{validJson}.replace(R"("new":1)", R"("switchedOff":["everything"])"), "/switchedOff"));
 }
 
-TEST_CASE("what is wrong is named by its place")
+TEST_CASE("problems are reported with their JSON pointer")
 {
     CHECK(hasProblemAt(QByteArray{validJson}.replace("10.0.0.1:1", "host:1"), "/callers"));
     CHECK(hasProblemAt(QByteArray{validJson}.replace("10.0.0.9:5", "10.0.0.9"), "/store"));
     CHECK(hasProblemAt(QByteArray{validJson}.replace("[7620,7635]", "[]"), "/peerPorts"));
     CHECK(hasProblemAt(QByteArray{validJson}.replace(R"({"grace":"6s","budget_slack":47})", "[]"), "/bounds"));
     CHECK(hasProblemAt(QByteArray{validJson}.replace(R"("id":"n-1",)", ""), "/id"));
-    rc::check("any bytes are read or refused", [](const std::string &bytes) {
+    rc::check("any bytes are parsed or rejected", [](const std::string &bytes) {
         static_cast<void>(settings::parseSidecarSettings(QByteArray::fromStdString(bytes)));
     });
 }
--- a/test/golden/session.hpp
+++ b/test/golden/session.hpp
@@ -17,30 +17,30 @@
 {
 
 /**
- * @brief Callers, an entry daemon, two daemons with backend servers of `launch-log`, and what the callers see.
+ * @brief Simulates callers, an entry daemon and two daemons with backend servers of `launch-log`, and records what the callers see.
  *
- * Decisions, key handling and answers are the real ones; messages between the daemons arrive at once, runs end when the
- * session says so, and the clock and the seeds are fixed, so the same steps give the same text.
+ * Decisions, key handling and answers are those of the real daemons. Messages between daemons arrive at once, runs end when
+ * the test ends them, and the clock and the seeds are fixed, so that the same steps give the same text.
  */
 class Session
 {
 public:
     /**
      * @brief Starts a session.
-     * @param summary What happens, in a line or two; stands at the head of the text.
+     * @param summary Short description of the scenario; printed at the head of the text.
      */
     explicit Session(const std::string &summary);
 
     /**
-     * @brief Has a caller mint a key at the entry daemon.
+     * @brief Mints a key at the entry daemon on behalf of a caller.
      * @param kind Kind of `launch-log`.
      * @return The key.
      */
     [[nodiscard]] std::string mintKey(const std::string &kind);
 
     /**
-     * @brief Has a caller send a request to the entry daemon.
-     * @param caller Name of the caller; one exchange of it is open at a time.
+     * @brief Sends a request from a caller to the entry daemon.
+     * @param caller Name of the caller, which has at most one open exchange at a time.
      * @param target `service/kind`.
      * @param key Value of `Idempotency-Key`; empty for none.
      * @param body Body of the request.
@@ -48,14 +48,14 @@
     void call(const std::string &caller, const std::string &target, const std::string &key, const std::string &body);
 
     /**
-     * @brief Has a caller close its connection.
+     * @brief Closes the connection of a caller.
      * @param caller Name of the caller.
      */
     void closeConnection(const std::string &caller);
 
     /**
      * @brief Ends the oldest run at any backend server.
-     * @param result Its answer, or why there is none.
+     * @param result Its answer, or the failure that ended it without one.
      */
     void endOldestRun(const std::variant<egretlatch::decision::RunAnswer, egretlatch::decision::RunFailure> &result);
 
@@ -67,19 +67,19 @@
     void answerOldestRun(int status, const std::string &body);
 
     /**
-     * @brief Has the backend servers of all daemons drain.
+     * @brief Starts to drain the backend servers of all daemons.
      */
     void drainServers();
 
     /**
-     * @brief Lets time pass, with ticks.
-     * @param span How long.
+     * @brief Advances the clock in ticks.
+     * @param span Time to advance.
      */
     void wait(std::chrono::milliseconds span);
 
     /**
-     * @brief Gives the key that the last refusal named for a resend.
-     * @return The key; empty if it named none.
+     * @brief Returns the key that the last refusal gave for a resend.
+     * @return The key; empty if there was none.
      */
     [[nodiscard]] const std::string &nextKey() const noexcept
     {
@@ -142,7 +142,7 @@
 /**
  * @brief Compares a session's text with test/golden/NAME.txt, byte for byte.
  *
- * With EGRETLATCH_WRITE_GOLDEN set, writes the file in place of comparing; scripts/make-golden does so.
+ * If EGRETLATCH_WRITE_GOLDEN is set, writes the file instead of comparing it; scripts/make-golden uses this.
  * @param name Name of the file.
  * @param text Text of the session.
  */
--- a/test/golden/sessions.cpp
+++ b/test/golden/sessions.cpp
@@ -13,9 +13,9 @@
 
 } // namespace
 
-TEST_CASE("session: a launch entry is answered whole, and a resend gets the same answer without a second run")
+TEST_CASE("session: a resend of a completed launch entry gets the same answer without a second run")
 {
-    Session session{"A launch entry is answered whole. Its caller lost the answer and resends; the answer comes again and nothing runs."};
+    Session session{"A launch entry completes. Its caller loses the answer and resends; it gets the same answer again and nothing runs."};
     const std::string key = session.mintKey("launch-entry");
     session.call("marshal", entry, key, R"({"glider":"D-1234"})");
     session.wait(std::chrono::milliseconds{20});
@@ -26,9 +26,9 @@
     checkGolden("answered", session.text());
 }
 
-TEST_CASE("session: a launch entry whose time passes may have run, and a resend is told its outcome")
+TEST_CASE("session: a launch entry that passes its deadline may have run, and a resend gets the recorded outcome")
 {
-    Session session{"A launch entry takes longer than its caller waits. It is told that it may have run; a resend later gets what became of it."};
+    Session session{"A launch entry takes longer than its deadline. The caller learns that it may have run; a later resend gets the recorded outcome."};
     const std::string key = session.mintKey("launch-entry");
     session.call("marshal", entry, key, R"({"glider":"D-1234"})");
     session.wait(std::chrono::milliseconds{520});
@@ -44,7 +44,7 @@
 
 TEST_CASE("session: a launch entry whose backend server is lost is not run again")
 {
-    Session session{"The backend server crashes while it runs a launch entry. Neither the system nor a resend runs it again."};
+    Session session{"The backend server crashes while it runs a launch entry. Neither the daemons nor a resend runs it again."};
     const std::string key = session.mintKey("launch-entry");
     session.call("marshal", entry, key, R"({"glider":"D-1234"})");
     session.wait(std::chrono::milliseconds{20});
@@ -78,9 +78,9 @@
     checkGolden("rejected", session.text());
 }
 
-TEST_CASE("session: what is not answered before its deadline gives its place to what comes after")
+TEST_CASE("session: requests that pass their deadline free the slots for later requests")
 {
-    Session session{"Both backend servers have one slot and hang. Four pilots ask and none is answered in time; a fifth finds a free slot."};
+    Session session{"Both backend servers have one slot and hang. Four pilots send lookups and none is answered in time; a fifth finds a free slot."};
     for (const char *const pilot : {"pilot 1", "pilot 2", "pilot 3", "pilot 4"}) {
         session.call(pilot, lookup, {}, "{}");
         session.wait(std::chrono::milliseconds{10});
@@ -92,7 +92,7 @@
     checkGolden("queue", session.text());
 }
 
-TEST_CASE("session: a service without servers refuses, and so does one that drains")
+TEST_CASE("session: a service without servers and a service whose servers drain refuse requests")
 {
     Session session{"No backend server of the logbook archive is known; later those of the launch log leave. Both refusals say that nothing ran."};
     session.call("treasurer", "logbook-archive/lookup", {}, "{}");
@@ -103,9 +103,9 @@
     checkGolden("no-server", session.text());
 }
 
-TEST_CASE("session: requests that are wrong are told how")
+TEST_CASE("session: invalid requests are answered with the reason")
 {
-    Session session{"A kind that is not declared, and a launch entry without a key, and one whose key names no owner."};
+    Session session{"Three invalid requests: an undeclared kind, a launch entry without a key, and one whose key names no owner."};
     session.call("marshal", "launch-log/landing", {}, "{}");
     session.call("marshal", entry, {}, "{}");
     session.call("marshal", entry, "0190a6f0-0000-7000-8000-000000000001", "{}");
@@ -113,9 +113,9 @@
     checkGolden("mistakes", session.text());
 }
 
-TEST_CASE("session: a caller that goes away is not answered, and its lookup ends")
+TEST_CASE("session: a lookup is aborted when its caller closes the connection")
 {
-    Session session{"A pilot closes the page while the lookup runs. The run is ended and the slot is free for the next."};
+    Session session{"A pilot closes the page while the lookup runs. The run is aborted and the slot is free for the next request."};
     session.call("pilot", lookup, {}, "{}");
     CHECK(session.runs() == 1);
     session.wait(std::chrono::milliseconds{20});
