--- a/src/egretlatch/cli/status_command.cpp
+++ b/src/egretlatch/cli/status_command.cpp
@@ -35,7 +35,7 @@
 
 static void addReported(const configuration::Report &report, FleetRows &rows)
 {
-    for (const configuration::HeardVersion &heard : report.heard) {
+    for (const configuration::ReportedVersion &heard : report.heard) {
         FleetRow &row = rows.try_emplace(heard.daemon, FleetRow{.version = heard.version, .hash = {}, .age = heard.age}).first->second;
         // Versions only increase, so the higher of two reported versions is the later one.
         if (heard.version > row.version) {
