--- a/test/egretlatch/cli/sessions.cpp
+++ b/test/egretlatch/cli/sessions.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/*! @brief What operators see of a platform under a fixed clock and seed. */
+/*! @brief Records the output of operators' commands under a fixed clock and seed. */
 struct Session
 {
     void print(const std::string &command, const cli::CommandResult &result)
@@ -62,7 +62,7 @@
     report.heard = std::move(heard);
     membership::Member self;
     self.id = {id};
-    // By way of the page that the daemon serves.
+    // Goes through the status document that the daemon serves.
     const std::string page = daemon::statusDocument(membership::Roster{self}, report, {});
     return {.url = "http://" + id, .report = cli::parseReport(QByteArray::fromStdString(page))};
 }
@@ -89,7 +89,7 @@
 
 } // namespace
 
-TEST_CASE("a session of operators who submit and race")
+TEST_CASE("operators submit manifests and race for a version")
 {
     Session session;
     session.submit(session.request(0, "{\"a\":1}", "anna"));
@@ -110,7 +110,7 @@
     fakes::checkGolden("submit-and-race.txt", session.text);
 }
 
-TEST_CASE("a session of operators who read what is in force")
+TEST_CASE("operators read the configuration in force")
 {
     Session session;
     const std::vector<configuration::ReportedVersion> heard{{.daemon = {"roster-0"}, .version = 4, .age = std::chrono::milliseconds{700}},
@@ -121,7 +121,7 @@
     fakes::checkGolden("status.txt", session.text);
 }
 
-TEST_CASE("a session of operators who explain refusals")
+TEST_CASE("operators explain stored refusals")
 {
     Session session;
     account::RefusalLedger ledger{{"launch-log-0"}, {17}, {.maxPending = 3}};
@@ -139,13 +139,13 @@
     }
     fakes::FakePlatformPort port{session.store};
     const std::string id = refusal.refusal.id.toString();
-    session.print("explain " + id, cli::explainOne(refusal.refusal.id, port, session.random, false));
-    session.print("explain --json " + id, cli::explainOne(refusal.refusal.id, port, session.random, true));
+    session.print("explain " + id, cli::explainRefusal(refusal.refusal.id, port, session.random, false));
+    session.print("explain --json " + id, cli::explainRefusal(refusal.refusal.id, port, session.random, true));
     const Uuid missing = session.mint.mint(session.clock.wallNow());
-    session.print("explain " + missing.toString(), cli::explainOne(missing, port, session.random, false));
-    const cli::AccountSpan span{.since = start, .until = session.clock.wallNow() + std::chrono::minutes{1}, .kind = {}};
-    session.print("explain --since 2026-09-21T14:13:20Z", cli::explainSpan(span, port, session.random));
-    const cli::AccountSpan ofKind{.since = span.since, .until = span.until, .kind = "launch-log/launch-entry"};
-    session.print("explain --since 2026-09-21T14:13:20Z --kind launch-log/launch-entry", cli::explainSpan(ofKind, port, session.random));
+    session.print("explain " + missing.toString(), cli::explainRefusal(missing, port, session.random, false));
+    const cli::RefusalQuery query{.since = start, .until = session.clock.wallNow() + std::chrono::minutes{1}, .kind = {}};
+    session.print("explain --since 2026-09-21T14:13:20Z", cli::summarizeRefusals(query, port, session.random));
+    const cli::RefusalQuery ofKind{.since = query.since, .until = query.until, .kind = "launch-log/launch-entry"};
+    session.print("explain --since 2026-09-21T14:13:20Z --kind launch-log/launch-entry", cli::summarizeRefusals(ofKind, port, session.random));
     fakes::checkGolden("explain.txt", session.text);
 }
--- a/test/egretlatch/settings/daemon_settings.cpp
+++ b/test/egretlatch/settings/daemon_settings.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-[[nodiscard]] bool complainsAbout(const Problems &problems, const std::string &pointer)
+[[nodiscard]] bool hasProblemAt(const Problems &problems, const std::string &pointer)
 {
     return std::any_of(problems.begin(), problems.end(), [&pointer](const Problem &problem) {
         return problem.pointer == pointer;
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("settings with all that is needed are read")
+TEST_CASE("complete settings are parsed")
 {
     const auto settings = parseDaemonSettings(R"({
         "id": "launch-log-0", "dataCentre": "dc1", "callerPort": 8000, "peerPort": 8001, "backendUrl": "http://127.0.0.1:9000",
@@ -38,7 +38,7 @@
     CHECK(settings->peerKeys->accepted.size() == 1);
 }
 
-TEST_CASE("encryption between daemons is off only where the settings say so")
+TEST_CASE("encryption between daemons is off only if the settings turn it off explicitly")
 {
     const QByteArray start = R"({"id": "a", "dataCentre": "dc1", "callerPort": 1, "peerPort": 2, "backendUrl": "http://127.0.0.1:9000")";
 
@@ -46,14 +46,14 @@
     const auto off = parseDaemonSettings(start + R"(, "peerEncryption": "off"})");
 
     REQUIRE_FALSE(silent.has_value());
-    CHECK(complainsAbout(silent.error(), "/peerKeys"));
+    CHECK(hasProblemAt(silent.error(), "/peerKeys"));
     REQUIRE(off.has_value());
     CHECK_FALSE(off->peerKeys.has_value());
 }
 
-TEST_CASE("a key of the wrong form is a problem, and is not shown")
+TEST_CASE("a malformed key is reported without its text")
 {
-    // A secret key that was copied with a letter too many must not end up in a terminal's history or a log.
+    // Guards against a secret key in a terminal's history or a log, after it was copied with one character too many.
     const auto settings = parseDaemonSettings(R"({
         "id": "a", "dataCentre": "dc1", "callerPort": 1, "peerPort": 2, "backendUrl": "http://127.0.0.1:9000",
         "peerKeys": {"publicKey": "short", "secretKey": "abcdefghijabcdefghijabcdefghijabcdefghijX", "accepted": []}
@@ -62,14 +62,14 @@
     REQUIRE_FALSE(settings.has_value());
     for (const char *const pointer : {"/peerKeys/publicKey", "/peerKeys/secretKey", "/peerKeys/accepted"}) {
         CAPTURE(pointer);
-        CHECK(complainsAbout(settings.error(), pointer));
+        CHECK(hasProblemAt(settings.error(), pointer));
     }
     for (const Problem &problem : settings.error()) {
         CHECK(problem.found.find("abcdefghij") == std::string::npos);
     }
 }
 
-TEST_CASE("all problems are found at once, each with its place")
+TEST_CASE("all problems are reported at once, each with its JSON pointer")
 {
     const auto settings = parseDaemonSettings(R"({
         "id": 5, "callerPort": 70000, "peerPort": 8001, "backendUrl": "localhost", "policy": "fast", "colour": "red",
@@ -80,11 +80,11 @@
     for (const char *const pointer :
          {"/id", "/dataCentre", "/callerPort", "/backendUrl", "/policy", "/colour", "/peers/0/endpoint", "/peers/1", "/listenAddress"}) {
         CAPTURE(pointer);
-        CHECK(complainsAbout(settings.error(), pointer));
+        CHECK(hasProblemAt(settings.error(), pointer));
     }
 }
 
-TEST_CASE("text that is not JSON names the byte")
+TEST_CASE("text that is not JSON is reported with the byte offset of the error")
 {
     const auto settings = parseDaemonSettings(R"({"id": )");
 
@@ -92,11 +92,11 @@
     CHECK(settings.error().front().found.find("byte 7") != std::string::npos);
 }
 
-TEST_CASE("any text gives settings or problems")
+TEST_CASE("any text results in settings or an error")
 {
     CHECK(rc::check([](const std::string &text) {
         const auto settings = parseDaemonSettings(QByteArray::fromStdString(text));
-        const bool isTold = settings.has_value() || hasError(settings.error());
-        RC_ASSERT(isTold);
+        const bool hasResultOrError = settings.has_value() || hasError(settings.error());
+        RC_ASSERT(hasResultOrError);
     }));
 }
