--- a/src/egretlatch/configuration/submission.hpp
+++ b/src/egretlatch/configuration/submission.hpp
@@ -67,7 +67,7 @@
  * @brief State machine that submits a manifest for acceptance; performs no I/O.
  *
  * The manifest is put into the object store under its hash; then one transaction moves the head row from the base to the
- * next version and creates that version's own row, which holds the submission id. The version's row is the witness that
+ * next version and creates that version's own row, which holds the submission id. The version's row is the marker that
  * shows the result when a response is lost, even long after the head has moved on.
  */
 class Submission
@@ -101,9 +101,9 @@
      * @brief Checks if the submission may still be accepted when it is abandoned now.
      * @return True from a lost response until the result is known.
      */
-    [[nodiscard]] bool isUnsure() const noexcept
+    [[nodiscard]] bool isOutcomeUnknown() const noexcept
     {
-        return m_write.has_value() && m_write->isUnsure();
+        return m_write.has_value() && m_write->isOutcomeUnknown();
     }
 
 private:
--- a/src/egretlatch/peer/stream_link.hpp
+++ b/src/egretlatch/peer/stream_link.hpp
@@ -38,7 +38,7 @@
 };
 
 /**
- * @brief Outgoing connection to another daemon, from opening to end; it is never reopened.
+ * @brief OutgoingRequest connection to another daemon, from opening to end; it is never reopened.
  *
  * Detects a connection that stops responding without being closed, as happens in a network partition: callers would wait
  * on it until their deadlines, and so would later ones. If nothing is received after a send, a keepalive request is sent,
--- a/standin/platform_server.cpp
+++ b/standin/platform_server.cpp
@@ -29,7 +29,7 @@
 constexpr settings::Range<double> shareRange{.min = 0.0, .max = 1.0};
 constexpr settings::Range<double> rateRange{.min = 0.0, .max = 1e6};
 
-[[nodiscard]] static store::RateCap makeCap(const double rate)
+[[nodiscard]] static store::RateLimiter makeCap(const double rate)
 {
     return {rate, rate * burstSeconds};
 }
