--- a/src/egretlatch/configuration/submission.cpp
+++ b/src/egretlatch/configuration/submission.cpp
@@ -105,14 +105,14 @@
         return SubmissionStep::ask;
     case store::WriteStep::askLater:
         return SubmissionStep::askLater;
-    case store::WriteStep::effected:
+    case store::WriteStep::applied:
         m_result.newest = std::max(m_result.newest, m_head.version);
         return finish(SubmissionEnd::accepted, m_head);
     case store::WriteStep::rejected:
         break;
     }
-    const std::optional<store::Row> &witness = m_write->witness();
-    const std::optional<Head> winner = witness.has_value() ? decodeHead(witness->value) : std::nullopt;
+    const std::optional<store::Row> &marker = m_write->marker();
+    const std::optional<Head> winner = marker.has_value() ? decodeHead(marker->value) : std::nullopt;
     m_result.newest = std::max(m_result.newest, m_head.version);
     return finish(SubmissionEnd::conflict, winner);
 }
--- a/src/egretlatch/core/bounded_log_sink.cpp
+++ b/src/egretlatch/core/bounded_log_sink.cpp
@@ -11,10 +11,10 @@
 namespace internal
 {
 
-constexpr std::chrono::seconds rateSpan{1};
+constexpr std::chrono::seconds rateWindow{1};
 // A pipe that can be written to at all takes this many bytes without waiting (POSIX: PIPE_BUF).
-constexpr std::size_t writtenAtOnce = 4096;
-constexpr std::size_t flushedAbove = 16384;
+constexpr std::size_t pipeBufBytes = 4096;
+constexpr std::size_t flushThreshold = 16384;
 
 [[nodiscard]] static bool isWritable(const int descriptor)
 {
@@ -28,7 +28,7 @@
     : m_descriptor{descriptor}
     , m_clock{clock}
     , m_bounds{bounds}
-    , m_lastTold{clock.steadyNow()}
+    , m_lastReport{clock.steadyNow()}
 {
 }
 
@@ -50,8 +50,8 @@
     }
     Event &entry = found->second;
     const SteadyTime now = m_clock.steadyNow();
-    if (now - entry.second >= internal::rateSpan) {
-        entry.second = now;
+    if (now - entry.windowStart >= internal::rateWindow) {
+        entry.windowStart = now;
         entry.lines = 0;
     }
     if (!hasRoom(entry, now, line.size())) {
@@ -59,58 +59,58 @@
         ++m_omitted;
         return;
     }
-    m_lines += entry.lines >= m_bounds.keptPerSecond ? 1 : 0;
+    m_unreservedLines += entry.lines >= m_bounds.reservedLinesPerSecond ? 1 : 0;
     ++entry.lines;
-    hold(line);
+    append(line);
 }
 
 bool BoundedLogSink::hasRoom(const Event &event, const SteadyTime now, const std::size_t size)
 {
-    if (now - m_second >= internal::rateSpan) {
-        m_second = now;
-        m_lines = 0;
+    if (now - m_windowStart >= internal::rateWindow) {
+        m_windowStart = now;
+        m_unreservedLines = 0;
     }
-    if (event.lines >= m_bounds.linesPerSecond || m_held.size() + size > m_bounds.heldBytes) {
+    if (event.lines >= m_bounds.linesPerSecond || m_buffer.size() + size > m_bounds.maxBufferedBytes) {
         return false;
     }
-    return event.lines < m_bounds.keptPerSecond || m_lines < m_bounds.allLinesPerSecond;
+    return event.lines < m_bounds.reservedLinesPerSecond || m_unreservedLines < m_bounds.totalLinesPerSecond;
 }
 
-void BoundedLogSink::hold(const std::string &line)
+void BoundedLogSink::append(const std::string &line)
 {
-    m_held += line;
-    if (m_held.size() >= internal::flushedAbove) {
+    m_buffer += line;
+    if (m_buffer.size() >= internal::flushThreshold) {
         flush();
     }
 }
 
 void BoundedLogSink::flush()
 {
-    tellOmissions();
+    reportOmissions();
     std::size_t written = 0;
-    while (written < m_held.size() && internal::isWritable(m_descriptor)) {
-        const std::size_t size = std::min(internal::writtenAtOnce, m_held.size() - written);
-        const ssize_t count = ::write(m_descriptor, m_held.data() + written, size);
+    while (written < m_buffer.size() && internal::isWritable(m_descriptor)) {
+        const std::size_t size = std::min(internal::pipeBufBytes, m_buffer.size() - written);
+        const ssize_t count = ::write(m_descriptor, m_buffer.data() + written, size);
         if (count <= 0) {
             break;
         }
         written += static_cast<std::size_t>(count);
     }
-    m_held.erase(0, written);
+    m_buffer.erase(0, written);
 }
 
-void BoundedLogSink::tellOmissions()
+void BoundedLogSink::reportOmissions()
 {
     const SteadyTime now = m_clock.steadyNow();
-    if (now - m_lastTold < internal::rateSpan || !m_omissionLine) {
+    if (now - m_lastReport < internal::rateWindow || !m_omissionLine) {
         return;
     }
-    m_lastTold = now;
+    m_lastReport = now;
     for (auto &[name, event] : m_events) {
-        if (event.omitted == 0 || m_held.size() >= m_bounds.heldBytes) {
+        if (event.omitted == 0 || m_buffer.size() >= m_bounds.maxBufferedBytes) {
             continue;
         }
-        m_held += m_omissionLine(name, event.omitted);
+        m_buffer += m_omissionLine(name, event.omitted);
         event.omitted = 0;
     }
 }
--- a/src/egretlatch/core/bounded_log_sink.hpp
+++ b/src/egretlatch/core/bounded_log_sink.hpp
@@ -23,11 +23,11 @@
      * With the lines kept, those that tell of lines left out, and some twenty events, a daemon stays below two hundred
      * lines a second, as the users ask, whatever its load.
      */
-    int allLinesPerSecond{120};
+    int totalLinesPerSecond{120};
     /*! @brief Lines of an event in a second that no other event can crowd out: a lost dependency is told of in an overload. */
-    int keptPerSecond{3};
+    int reservedLinesPerSecond{3};
     /*! @brief Bytes that wait for a reader that does not read. */
-    std::size_t heldBytes{262'144};
+    std::size_t maxBufferedBytes{262'144};
 
     friend bool operator==(const LogBounds &, const LogBounds &) = default;
 };
@@ -76,14 +76,14 @@
 private:
     struct Event
     {
-        SteadyTime second;
+        SteadyTime windowStart;
         int lines{};
         std::uint64_t omitted{};
     };
 
     [[nodiscard]] bool hasRoom(const Event &event, SteadyTime now, std::size_t size);
-    void hold(const std::string &line);
-    void tellOmissions();
+    void append(const std::string &line);
+    void reportOmissions();
 
     int m_descriptor;
     const Clock &m_clock;
@@ -91,11 +91,11 @@
     OmissionLine m_omissionLine;
     std::map<std::string, Event, std::less<>> m_events;
     /*! @brief The second that all events are counted in, and their lines in it beyond those kept for each. */
-    SteadyTime m_second;
-    int m_lines{};
-    std::string m_held;
+    SteadyTime m_windowStart;
+    int m_unreservedLines{};
+    std::string m_buffer;
     std::uint64_t m_omitted{};
-    SteadyTime m_lastTold;
+    SteadyTime m_lastReport;
 };
 
 } // namespace egretlatch
--- a/src/egretlatch/core/logger.cpp
+++ b/src/egretlatch/core/logger.cpp
@@ -76,7 +76,7 @@
 
 void Logger::log(const LogLevel level, const std::string_view event, const std::initializer_list<LogField> fields) const
 {
-    if (level >= m_least) {
+    if (level >= m_minLevel) {
         m_sink.write(event, line(level, event, fields));
     }
 }
--- a/src/egretlatch/core/logger.hpp
+++ b/src/egretlatch/core/logger.hpp
@@ -58,8 +58,8 @@
      * @param source Name that each line carries, such as the daemon's.
      * @param sink Takes the lines; must outlive the logger.
      */
-    Logger(LogLevel least, std::string source, LogSink &sink = standardErrorSink())
-        : m_least{least}
+    Logger(LogLevel minLevel, std::string source, LogSink &sink = standardErrorSink())
+        : m_minLevel{minLevel}
         , m_source{std::move(source)}
         , m_sink{sink}
     {
@@ -103,7 +103,7 @@
     }
 
 private:
-    LogLevel m_least;
+    LogLevel m_minLevel;
     std::string m_source;
     LogSink &m_sink;
 };
--- a/src/egretlatch/daemon/daemon.cpp
+++ b/src/egretlatch/daemon/daemon.cpp
@@ -4,7 +4,7 @@
 
 #include <fmt/format.h>
 
-#include <egretlatch/core/fresh_life.hpp>
+#include <egretlatch/core/new_incarnation.hpp>
 #include <egretlatch/daemon/core_options.hpp>
 
 namespace egretlatch::daemon
@@ -27,8 +27,8 @@
     , m_tokens{std::move(tokens)}
     , m_manifest{std::move(manifest)}
     , m_logger{m_settings.logLevel, m_settings.id.value}
-    , m_random{m_settings.seed.value_or(freshSeed())}
-    , m_incarnation{incarnationAt(m_clock)}
+    , m_random{m_settings.seed.value_or(randomSeed())}
+    , m_incarnation{newIncarnation(m_clock)}
     , m_inward{m_decideWaker}
     , m_peer{m_settings.id, m_incarnation, m_settings.peerKeys, m_inward.fromPeer, m_metrics}
     , m_frontWaker{[this] {
--- a/src/egretlatch/http/answer_queue.hpp
+++ b/src/egretlatch/http/answer_queue.hpp
@@ -43,7 +43,7 @@
      */
     [[nodiscard]] bool hasRoom() const noexcept
     {
-        return m_turns.empty() || (m_turns.size() < m_limits.requests && m_heldBytes < m_limits.bytes);
+        return m_pending.empty() || (m_pending.size() < m_limits.requests && m_bufferedBytes < m_limits.bytes);
     }
 
     /**
@@ -52,7 +52,7 @@
      */
     [[nodiscard]] bool mayStart(bool mayOverlap) const noexcept
     {
-        return m_turns.empty() || (mayOverlap && m_turns.back().mayOverlap);
+        return m_pending.empty() || (mayOverlap && m_pending.back().mayOverlap);
     }
 
     /**
@@ -91,11 +91,11 @@
 
     [[nodiscard]] bool isEmpty() const noexcept
     {
-        return m_turns.empty();
+        return m_pending.empty();
     }
 
 private:
-    struct Turn
+    struct PendingAnswer
     {
         ExchangeId exchange;
         bool mayOverlap{};
@@ -105,8 +105,8 @@
     };
 
     PipelineLimits m_limits;
-    std::deque<Turn> m_turns;
-    qsizetype m_heldBytes{};
+    std::deque<PendingAnswer> m_pending;
+    qsizetype m_bufferedBytes{};
 };
 
 } // namespace egretlatch::http
--- a/src/egretlatch/http/client_connection.cpp
+++ b/src/egretlatch/http/client_connection.cpp
@@ -14,24 +14,24 @@
 constexpr std::chrono::milliseconds connectTimeout{1500};
 // Without word from the server: below the shortest that servers close idle connections after, ten seconds, by far, since
 // a request that meets the close may have run.
-constexpr std::chrono::milliseconds freeTime{4000};
+constexpr std::chrono::milliseconds maxFreeTime{4000};
 // The server's own time, less the way there and back.
-constexpr std::chrono::milliseconds freeMargin{700};
+constexpr std::chrono::milliseconds freeTimeMargin{700};
 
 [[nodiscard]] static std::chrono::milliseconds freeTimeOf(const Response &response)
 {
     const std::string *const value = findHeader(response.headers, "keep-alive");
-    const std::size_t place = value == nullptr ? std::string::npos : value->find("timeout=");
-    if (place == std::string::npos) {
-        return freeTime;
+    const std::size_t position = value == nullptr ? std::string::npos : value->find("timeout=");
+    if (position == std::string::npos) {
+        return maxFreeTime;
     }
     constexpr std::size_t prefixSize = 8;
     int seconds = 0;
-    const char *const begin = value->data() + place + prefixSize;
+    const char *const begin = value->data() + position + prefixSize;
     if (std::from_chars(begin, value->data() + value->size(), seconds).ec != std::errc{}) {
-        return freeTime;
+        return maxFreeTime;
     }
-    return std::clamp(std::chrono::milliseconds{std::chrono::seconds{seconds}} - freeMargin, std::chrono::milliseconds{0}, freeTime);
+    return std::clamp(std::chrono::milliseconds{std::chrono::seconds{seconds}} - freeTimeMargin, std::chrono::milliseconds{0}, maxFreeTime);
 }
 
 } // namespace internal
@@ -45,7 +45,7 @@
 {
 }
 
-void ClientConnection::open(const net::Endpoint &endpoint, Outgoing outgoing)
+void ClientConnection::open(const net::Endpoint &endpoint, OutgoingRequest outgoing)
 {
     m_isBusy = true;
     m_outgoing = std::move(outgoing);
@@ -54,7 +54,7 @@
     }
 }
 
-void ClientConnection::send(Outgoing outgoing)
+void ClientConnection::send(OutgoingRequest outgoing)
 {
     m_isBusy = true;
     m_outgoing = std::move(outgoing);
@@ -66,23 +66,23 @@
 {
     m_isBusy = false;
     m_outgoing = {};
-    over();
+    shutDown();
 }
 
 void ClientConnection::close()
 {
-    over();
+    shutDown();
 }
 
-void ClientConnection::checkTimes()
+void ClientConnection::checkTimeouts()
 {
-    if (m_isOver) {
+    if (m_isClosed) {
         return;
     }
     const SteadyTime now = m_clock.steadyNow();
     if (!m_isBusy) {
         if (now >= m_freeUntil) {
-            over();
+            shutDown();
         }
         return;
     }
@@ -106,18 +106,18 @@
 {
     if (!m_isBusy) {
         // Bytes that no request asked for: an answer given twice, or late.
-        over();
+        shutDown();
         return;
     }
     m_reader.feed(bytes);
-    takeAnswers();
+    handleAnswers();
 }
 
-void ClientConnection::takeAnswers()
+void ClientConnection::handleAnswers()
 {
     while (m_isBusy && m_reader.state() == ReadState::complete) {
-        takeAnswer(m_reader.take());
-        if (m_isBusy && m_reader.hasRest()) {
+        handleAnswer(m_reader.take());
+        if (m_isBusy && m_reader.hasUnparsed()) {
             m_reader.feed({});
         }
     }
@@ -126,19 +126,19 @@
     }
 }
 
-void ClientConnection::takeAnswer(Response response)
+void ClientConnection::handleAnswer(Response response)
 {
     if (response.status < internal::firstFinalStatus) {
         return;
     }
-    if (!m_outgoing.isOwn(response)) {
-        m_isSpoiled = true;
+    if (!m_outgoing.isMatchingResponse(response)) {
+        m_hasForeignAnswer = true;
         if (!response.keepsConnection) {
             fail(Failure::lost);
         }
         return;
     }
-    const bool isReusable = response.keepsConnection && !m_isSpoiled && !m_reader.hasRest();
+    const bool isReusable = response.keepsConnection && !m_hasForeignAnswer && !m_reader.hasUnparsed();
     m_freeUntil = m_clock.steadyNow() + internal::freeTimeOf(response);
     m_isBusy = false;
     const auto onResult = std::move(m_outgoing.onResult);
@@ -146,7 +146,7 @@
     if (isReusable) {
         m_listener.onFree(*this);
     } else {
-        over();
+        shutDown();
     }
     onResult(std::move(response));
 }
@@ -154,7 +154,7 @@
 void ClientConnection::onEnd(const net::StreamEnd end)
 {
     if (!m_isBusy) {
-        over();
+        shutDown();
         return;
     }
     if (end == net::StreamEnd::neverOpened) {
@@ -163,7 +163,7 @@
     }
     if (end == net::StreamEnd::finished) {
         m_reader.finish();
-        takeAnswers();
+        handleAnswers();
     }
     if (m_isBusy) {
         fail(Failure::lost);
@@ -175,16 +175,16 @@
     m_isBusy = false;
     const auto onResult = std::move(m_outgoing.onResult);
     m_outgoing = {};
-    over();
+    shutDown();
     onResult(failure);
 }
 
-void ClientConnection::over()
+void ClientConnection::shutDown()
 {
-    if (m_isOver) {
+    if (m_isClosed) {
         return;
     }
-    m_isOver = true;
+    m_isClosed = true;
     m_stream.close();
     m_listener.onClosed(*this);
 }
--- a/src/egretlatch/http/client_connection.hpp
+++ b/src/egretlatch/http/client_connection.hpp
@@ -24,11 +24,11 @@
 using Outcome = std::variant<Response, Failure>;
 
 /*! @brief A request that is to be sent. */
-struct Outgoing
+struct OutgoingRequest
 {
     QByteArray bytes;
     /*! @brief Tells an answer to this request from one to an earlier request that came late. */
-    std::function<bool(const Response &)> isOwn;
+    std::function<bool(const Response &)> isMatchingResponse;
     /*! @brief Called exactly once, unless the request is cancelled. */
     std::function<void(Outcome)> onResult;
     SteadyTime deadline;
@@ -59,23 +59,23 @@
      * @param endpoint Where to.
      * @param outgoing The request.
      */
-    void open(const net::Endpoint &endpoint, Outgoing outgoing);
+    void open(const net::Endpoint &endpoint, OutgoingRequest outgoing);
 
     /**
      * @brief Sends a request on a free connection.
      * @param outgoing The request.
      */
-    void send(Outgoing outgoing);
+    void send(OutgoingRequest outgoing);
 
     /*! @brief Forgets the request that is under way and closes; no result follows. */
     void cancel();
 
     /*! @brief Ends what takes too long; to be called now and then. */
-    void checkTimes();
+    void checkTimeouts();
 
     [[nodiscard]] bool isFree() const noexcept
     {
-        return !m_isBusy && !m_isOver;
+        return !m_isBusy && !m_isClosed;
     }
 
     /*! @brief Time up to which the server keeps it open without a request, as far as known. */
@@ -90,21 +90,21 @@
     void onOpen() override;
     void onBytes(const QByteArray &bytes) override;
     void onEnd(net::StreamEnd end) override;
-    void takeAnswers();
-    void takeAnswer(Response response);
+    void handleAnswers();
+    void handleAnswer(Response response);
     void fail(Failure failure);
-    void over();
+    void shutDown();
 
     ClientConnectionListener &m_listener;
     const Clock &m_clock;
     ResponseReader m_reader;
     net::TcpStream m_stream;
-    Outgoing m_outgoing;
+    OutgoingRequest m_outgoing;
     bool m_isBusy{};
     bool m_isOpen{};
-    bool m_isOver{};
+    bool m_isClosed{};
     /*! @brief An answer that belongs to no request came, so another one may. */
-    bool m_isSpoiled{};
+    bool m_hasForeignAnswer{};
     SteadyTime m_openedAt;
     SteadyTime m_freeUntil;
 };
--- a/src/egretlatch/http/client_pool.cpp
+++ b/src/egretlatch/http/client_pool.cpp
@@ -13,34 +13,34 @@
 {
 }
 
-TicketId ClientPool::send(Outgoing outgoing)
+TicketId ClientPool::send(OutgoingRequest outgoing)
 {
     const TicketId ticket{++m_lastTicket};
     outgoing.onResult = [this, ticket, onResult = std::move(outgoing.onResult)](Outcome result) {
-        m_underWay.erase(ticket.value);
+        m_inFlight.erase(ticket.value);
         onResult(std::move(result));
     };
     if (ClientConnection *const free = takeFree()) {
-        m_underWay.emplace(ticket.value, free);
+        m_inFlight.emplace(ticket.value, free);
         free->send(std::move(outgoing));
         return ticket;
     }
     auto connection = std::make_unique<ClientConnection>(m_poller, *this, m_clock, m_limits);
     ClientConnection *const key = connection.get();
     m_connections.emplace(key, std::move(connection));
-    m_underWay.emplace(ticket.value, key);
+    m_inFlight.emplace(ticket.value, key);
     key->open(m_endpoint, std::move(outgoing));
     return ticket;
 }
 
 void ClientPool::cancel(const TicketId ticket)
 {
-    const auto found = m_underWay.find(ticket.value);
-    if (found == m_underWay.end()) {
+    const auto found = m_inFlight.find(ticket.value);
+    if (found == m_inFlight.end()) {
         return;
     }
     ClientConnection *const connection = found->second;
-    m_underWay.erase(found);
+    m_inFlight.erase(found);
     connection->cancel();
 }
 
@@ -60,9 +60,9 @@
         all.push_back(key);
     }
     for (ClientConnection *const connection : all) {
-        connection->checkTimes();
+        connection->checkTimeouts();
     }
-    m_over.clear();
+    m_closed.clear();
 }
 
 ClientConnection *ClientPool::takeFree()
@@ -89,7 +89,7 @@
     std::erase(m_free, &connection);
     const auto found = m_connections.find(&connection);
     if (found != m_connections.end()) {
-        m_over.push_back(std::move(found->second));
+        m_closed.push_back(std::move(found->second));
         m_connections.erase(found);
     }
 }
--- a/src/egretlatch/http/client_pool.hpp
+++ b/src/egretlatch/http/client_pool.hpp
@@ -41,7 +41,7 @@
      * @param outgoing The request; its result may come before this returns.
      * @return What cancel() takes.
      */
-    TicketId send(Outgoing outgoing);
+    TicketId send(OutgoingRequest outgoing);
 
     /**
      * @brief Closes the connection of a request that is under way; no result follows.
@@ -67,8 +67,8 @@
     std::unordered_map<ClientConnection *, std::unique_ptr<ClientConnection>> m_connections;
     /*! @brief The one used last at the end: it is the least likely to be closed by the server meanwhile. */
     std::vector<ClientConnection *> m_free;
-    std::unordered_map<std::uint64_t, ClientConnection *> m_underWay;
-    std::vector<std::unique_ptr<ClientConnection>> m_over;
+    std::unordered_map<std::uint64_t, ClientConnection *> m_inFlight;
+    std::vector<std::unique_ptr<ClientConnection>> m_closed;
     std::uint64_t m_lastTicket{};
 };
 
--- a/src/egretlatch/http/message.cpp
+++ b/src/egretlatch/http/message.cpp
@@ -28,7 +28,7 @@
     append(bytes, "\r\n");
 }
 
-static void appendRest(QByteArray &bytes, const Headers &headers, const bool keepsConnection, const QByteArray &body)
+static void appendHeadersAndBody(QByteArray &bytes, const Headers &headers, const bool keepsConnection, const QByteArray &body)
 {
     for (const Header &header : headers) {
         if (!isConnectionHeader(header.name)) {
@@ -96,15 +96,15 @@
 Headers forwardable(const Headers &headers)
 {
     const std::string *const named = findHeader(headers, "connection");
-    Headers kept;
-    kept.reserve(headers.size());
+    Headers forwarded;
+    forwarded.reserve(headers.size());
     for (const Header &header : headers) {
         const bool isDropped = isConnectionHeader(header.name) || (named != nullptr && internal::isNamedBy(*named, header.name));
         if (!isDropped) {
-            kept.push_back(header);
+            forwarded.push_back(header);
         }
     }
-    return kept;
+    return forwarded;
 }
 
 QByteArray encode(const Request &request)
@@ -118,7 +118,7 @@
     if (mayHaveBody || !request.body.isEmpty()) {
         internal::appendField(bytes, "Content-Length", std::to_string(request.body.size()));
     }
-    internal::appendRest(bytes, request.headers, request.keepsConnection, request.body);
+    internal::appendHeadersAndBody(bytes, request.headers, request.keepsConnection, request.body);
     return bytes;
 }
 
@@ -136,7 +136,7 @@
     if (response.status != noContent && response.status != notModified) {
         internal::appendField(bytes, "Content-Length", std::to_string(response.body.size()));
     }
-    internal::appendRest(bytes, response.headers, response.keepsConnection, response.body);
+    internal::appendHeadersAndBody(bytes, response.headers, response.keepsConnection, response.body);
     return bytes;
 }
 
--- a/src/egretlatch/http/reader.cpp
+++ b/src/egretlatch/http/reader.cpp
@@ -68,17 +68,17 @@
 template<typename Message>
 void Reader<Message>::feed(const QByteArray &bytes)
 {
-    keep(bytes);
+    append(bytes);
     advance();
 }
 
 template<typename Message>
 void Reader<Message>::advance()
 {
-    while (m_state != ReadState::complete && m_state != ReadState::failed && !m_rest.isEmpty()) {
+    while (m_state != ReadState::complete && m_state != ReadState::failed && !m_unparsed.isEmpty()) {
         boost::beast::error_code code;
-        const std::size_t taken = m_parser->parser.put(boost::asio::buffer(m_rest.constData(), static_cast<std::size_t>(m_rest.size())), code);
-        m_rest.remove(0, static_cast<qsizetype>(taken));
+        const std::size_t consumed = m_parser->parser.put(boost::asio::buffer(m_unparsed.constData(), static_cast<std::size_t>(m_unparsed.size())), code);
+        m_unparsed.remove(0, static_cast<qsizetype>(consumed));
         if (code && code != beast::error::need_more) {
             m_error = internal::readErrorOf(code);
             m_state = ReadState::failed;
@@ -89,7 +89,7 @@
             return;
         }
         m_state = m_parser->parser.is_header_done() ? ReadState::readingBody : ReadState::readingHeader;
-        if (taken == 0) {
+        if (consumed == 0) {
             return;
         }
     }
@@ -104,8 +104,8 @@
     }
     boost::beast::error_code code;
     m_parser->parser.put_eof(code);
-    const bool isWhole = !code && m_parser->parser.is_done() && m_rest.isEmpty();
-    m_state = isWhole ? ReadState::complete : ReadState::failed;
+    const bool isComplete = !code && m_parser->parser.is_done() && m_unparsed.isEmpty();
+    m_state = isComplete ? ReadState::complete : ReadState::failed;
 }
 
 template<typename Message>
--- a/src/egretlatch/http/reader.hpp
+++ b/src/egretlatch/http/reader.hpp
@@ -73,9 +73,9 @@
      * @brief Keeps bytes without reading on.
      * @param bytes What came in.
      */
-    void keep(const QByteArray &bytes)
+    void append(const QByteArray &bytes)
     {
-        m_rest.append(bytes);
+        m_unparsed.append(bytes);
     }
 
     /*! @brief Takes the end of the connection, which may be the end of a message without a length. */
@@ -92,15 +92,15 @@
     }
 
     /*! @brief Whether bytes are kept that belong to no message taken so far. */
-    [[nodiscard]] bool hasRest() const noexcept
+    [[nodiscard]] bool hasUnparsed() const noexcept
     {
-        return !m_rest.isEmpty();
+        return !m_unparsed.isEmpty();
     }
 
     /*! @brief Bytes that are kept. */
-    [[nodiscard]] qsizetype restBytes() const noexcept
+    [[nodiscard]] qsizetype unparsedBytes() const noexcept
     {
-        return m_rest.size();
+        return m_unparsed.size();
     }
 
     /*! @brief Whether the header that has been read asks to be told to go on before the body is sent. */
@@ -120,7 +120,7 @@
 
     ReadLimits m_limits;
     std::unique_ptr<internal::ParserState<isRequest>> m_parser;
-    QByteArray m_rest;
+    QByteArray m_unparsed;
     ReadState m_state{ReadState::waiting};
     ReadError m_error{ReadError::malformed};
 };
--- a/src/egretlatch/http/server.cpp
+++ b/src/egretlatch/http/server.cpp
@@ -26,12 +26,12 @@
 
 void Server::answer(const ExchangeId exchange, Response response)
 {
-    const auto found = m_awaiting.find(exchange);
-    if (found == m_awaiting.end()) {
+    const auto found = m_unanswered.find(exchange);
+    if (found == m_unanswered.end()) {
         return;
     }
     ServerConnection *const connection = found->second;
-    m_awaiting.erase(found);
+    m_unanswered.erase(found);
     connection->answer(exchange, std::move(response));
 }
 
@@ -65,9 +65,9 @@
         all.push_back(key);
     }
     for (ServerConnection *const connection : all) {
-        connection->checkTimes();
+        connection->checkTimeouts();
     }
-    m_over.clear();
+    m_closed.clear();
 }
 
 void Server::accept(const int descriptor)
@@ -88,7 +88,7 @@
 ExchangeId Server::begin(ServerConnection &connection)
 {
     ++m_lastExchange.value;
-    m_awaiting.emplace(m_lastExchange, &connection);
+    m_unanswered.emplace(m_lastExchange, &connection);
     return m_lastExchange;
 }
 
@@ -99,7 +99,7 @@
 
 void Server::onAbandoned(const ExchangeId exchange)
 {
-    m_awaiting.erase(exchange);
+    m_unanswered.erase(exchange);
     m_onAbandoned(exchange);
 }
 
@@ -107,7 +107,7 @@
 {
     const auto found = m_connections.find(&connection);
     if (found != m_connections.end()) {
-        m_over.push_back(std::move(found->second));
+        m_closed.push_back(std::move(found->second));
         m_connections.erase(found);
     }
 }
--- a/src/egretlatch/http/server.hpp
+++ b/src/egretlatch/http/server.hpp
@@ -70,7 +70,7 @@
 
     [[nodiscard]] bool isIdle() const noexcept
     {
-        return m_awaiting.empty();
+        return m_unanswered.empty();
     }
 
 private:
@@ -89,9 +89,9 @@
     net::TcpAcceptor m_acceptor;
     ServerLimits m_limits;
     std::unordered_map<ServerConnection *, std::unique_ptr<ServerConnection>> m_connections;
-    std::unordered_map<ExchangeId, ServerConnection *> m_awaiting;
+    std::unordered_map<ExchangeId, ServerConnection *> m_unanswered;
     /*! @brief Closed while one of their functions may be on the call stack. */
-    std::vector<std::unique_ptr<ServerConnection>> m_over;
+    std::vector<std::unique_ptr<ServerConnection>> m_closed;
     ExchangeId m_lastExchange;
     bool m_isRetiring{};
 };
--- a/src/egretlatch/http/server_connection.cpp
+++ b/src/egretlatch/http/server_connection.cpp
@@ -14,7 +14,7 @@
 // be reset and the answer lost.
 constexpr std::chrono::seconds lingerTime{2};
 // Bytes kept of requests that cannot be read yet; more stay with the caller.
-constexpr qsizetype mostUnread = 65536;
+constexpr qsizetype maxReadAhead = 65536;
 
 [[nodiscard]] static int statusOf(const ReadError error)
 {
@@ -38,8 +38,8 @@
     , m_reader{limits.read}
     , m_stream{poller, *this}
     , m_clock{clock}
-    , m_since{clock.steadyNow()}
-    , m_readAt{m_since}
+    , m_phaseStart{clock.steadyNow()}
+    , m_readAt{m_phaseStart}
     , m_queue{limits.pipeline}
 {
     m_stream.adopt(descriptor);
@@ -47,29 +47,29 @@
 
 void ServerConnection::onBytes(const QByteArray &bytes)
 {
-    if (m_takesNoMore) {
-        m_isLastByCaller = false;
+    if (m_ignoresRequests) {
+        m_isFinalRequest = false;
         return;
     }
     m_readAt = m_clock.steadyNow();
-    if (m_reader.state() == ReadState::waiting && !m_reader.hasRest()) {
-        m_since = m_readAt;
+    if (m_reader.state() == ReadState::waiting && !m_reader.hasUnparsed()) {
+        m_phaseStart = m_readAt;
     }
-    m_reader.keep(bytes);
+    m_reader.append(bytes);
     proceed();
 }
 
 void ServerConnection::proceed()
 {
     // Answers that are given while requests are being started are sent afterwards, when it is known which one is the last.
-    if (m_isProceeding || m_isOver || m_isEnding) {
+    if (m_isProceeding || m_isClosed || m_isLingering) {
         return;
     }
     m_isProceeding = true;
     do {
         while (startNext()) { }
         if (m_isRetiring && !m_queue.isEmpty()) {
-            takeNoMore();
+            ignoreFurtherRequests();
         }
     } while (sendNext());
     m_isProceeding = false;
@@ -78,19 +78,19 @@
 
 bool ServerConnection::startNext()
 {
-    if (m_isOver || m_takesNoMore || (!m_held.has_value() && !readNext())) {
+    if (m_isClosed || m_ignoresRequests || (!m_waiting.has_value() && !readNext())) {
         return false;
     }
-    if (!m_queue.mayStart(m_held->mayOverlap)) {
+    if (!m_queue.mayStart(m_waiting->mayOverlap)) {
         return false;
     }
-    HeldRequest next = std::move(*m_held);
-    m_held.reset();
+    WaitingRequest next = std::move(*m_waiting);
+    m_waiting.reset();
     const ExchangeId exchange = m_listener.begin(*this);
     m_queue.start(exchange, next.mayOverlap, next.request.body.size());
     if (!next.request.keepsConnection) {
-        m_isLastByCaller = !m_reader.hasRest();
-        takeNoMore();
+        m_isFinalRequest = !m_reader.hasUnparsed();
+        ignoreFurtherRequests();
     }
     m_listener.onRequest(exchange, std::move(next.request), next.readAt);
     return true;
@@ -102,37 +102,37 @@
     if (!m_queue.hasRoom() || m_stream.unsentBytes() >= m_limits.pipeline.bytes) {
         return false;
     }
-    if (m_reader.state() == ReadState::waiting && m_reader.hasRest()) {
-        m_since = m_readAt;
+    if (m_reader.state() == ReadState::waiting && m_reader.hasUnparsed()) {
+        m_phaseStart = m_readAt;
     }
     m_reader.feed({});
     if (m_reader.state() == ReadState::failed) {
         refuse(internal::statusOf(m_reader.error()));
         return false;
     }
-    if (m_queue.isEmpty() && m_reader.expectsContinue() && !m_hasContinued) {
-        m_hasContinued = true;
+    if (m_queue.isEmpty() && m_reader.expectsContinue() && !m_hasSentContinue) {
+        m_hasSentContinue = true;
         m_stream.write("HTTP/1.1 100 Continue\r\n\r\n");
     }
     if (m_reader.state() != ReadState::complete) {
         return false;
     }
-    m_hasContinued = false;
-    m_held.emplace(HeldRequest{.request = m_reader.take(), .readAt = m_readAt, .mayOverlap = false});
-    m_held->mayOverlap = m_listener.mayOverlap(m_held->request);
+    m_hasSentContinue = false;
+    m_waiting.emplace(WaitingRequest{.request = m_reader.take(), .readAt = m_readAt, .mayOverlap = false});
+    m_waiting->mayOverlap = m_listener.mayOverlap(m_waiting->request);
     return true;
 }
 
 void ServerConnection::refuse(const int status)
 {
     m_queue.startAnswered(bareResponse(status));
-    takeNoMore();
+    ignoreFurtherRequests();
 }
 
-void ServerConnection::takeNoMore()
+void ServerConnection::ignoreFurtherRequests()
 {
-    m_takesNoMore = true;
-    m_held.reset();
+    m_ignoresRequests = true;
+    m_waiting.reset();
 }
 
 void ServerConnection::answer(const ExchangeId exchange, Response response)
@@ -141,38 +141,38 @@
         return;
     }
     if (m_reader.state() == ReadState::waiting) {
-        m_since = m_clock.steadyNow();
+        m_phaseStart = m_clock.steadyNow();
     }
     proceed();
 }
 
 bool ServerConnection::sendNext()
 {
-    if (m_isOver || m_isEnding) {
+    if (m_isClosed || m_isLingering) {
         return false;
     }
     std::optional<Response> response = m_queue.takeNext();
     if (!response.has_value()) {
         return false;
     }
-    if (!response->keepsConnection || (m_takesNoMore && m_queue.isEmpty())) {
-        endAfter(std::move(*response));
+    if (!response->keepsConnection || (m_ignoresRequests && m_queue.isEmpty())) {
+        sendFinal(std::move(*response));
         return false;
     }
     m_stream.write(encode(*response));
     return true;
 }
 
-void ServerConnection::endAfter(Response response)
+void ServerConnection::sendFinal(Response response)
 {
     response.keepsConnection = false;
-    m_isEnding = true;
-    takeNoMore();
-    m_since = m_clock.steadyNow();
+    m_isLingering = true;
+    ignoreFurtherRequests();
+    m_phaseStart = m_clock.steadyNow();
     m_stream.write(encode(response));
-    if (m_isLastByCaller && m_queue.isEmpty() && m_stream.unsentBytes() == 0) {
+    if (m_isFinalRequest && m_queue.isEmpty() && m_stream.unsentBytes() == 0) {
         // The caller sends nothing more, so no byte of it can be left unread and reset the connection under the answer.
-        over();
+        shutDown();
         return;
     }
     m_stream.finishWriting();
@@ -184,8 +184,8 @@
 void ServerConnection::updateReading()
 {
     // Reading goes on while requests are under way, or the end of the connection would be seen late; but not without bound.
-    const bool isBehind = m_held.has_value() || !m_queue.isEmpty() || m_stream.unsentBytes() >= m_limits.pipeline.bytes;
-    m_stream.setReading(!isBehind || m_reader.restBytes() < internal::mostUnread);
+    const bool isBusy = m_waiting.has_value() || !m_queue.isEmpty() || m_stream.unsentBytes() >= m_limits.pipeline.bytes;
+    m_stream.setReading(!isBusy || m_reader.unparsedBytes() < internal::maxReadAhead);
 }
 
 void ServerConnection::retire()
@@ -194,24 +194,24 @@
     proceed();
 }
 
-void ServerConnection::checkTimes()
+void ServerConnection::checkTimeouts()
 {
-    if (m_isOver) {
+    if (m_isClosed) {
         return;
     }
-    const Duration waited = m_clock.steadyNow() - m_since;
-    if (m_isEnding) {
+    const Duration waited = m_clock.steadyNow() - m_phaseStart;
+    if (m_isLingering) {
         if (waited > internal::lingerTime) {
-            over();
+            shutDown();
         }
         return;
     }
-    if (m_takesNoMore || m_held.has_value() || m_stream.unsentBytes() > 0) {
+    if (m_ignoresRequests || m_waiting.has_value() || m_stream.unsentBytes() > 0) {
         return;
     }
     if (m_reader.state() == ReadState::waiting) {
         if (m_queue.isEmpty() && waited > m_limits.idleTimeout) {
-            over();
+            shutDown();
         }
         return;
     }
@@ -223,20 +223,20 @@
 
 void ServerConnection::onEnd(net::StreamEnd /*end*/)
 {
-    over();
+    shutDown();
 }
 
 void ServerConnection::close()
 {
-    over();
+    shutDown();
 }
 
-void ServerConnection::over()
+void ServerConnection::shutDown()
 {
-    if (m_isOver) {
+    if (m_isClosed) {
         return;
     }
-    m_isOver = true;
+    m_isClosed = true;
     m_stream.close();
     for (const ExchangeId exchange : m_queue.abandon()) {
         m_listener.onAbandoned(exchange);
--- a/src/egretlatch/http/server_connection.hpp
+++ b/src/egretlatch/http/server_connection.hpp
@@ -92,7 +92,7 @@
     void retire();
 
     /*! @brief Ends the connection if the caller takes too long; to be called now and then. */
-    void checkTimes();
+    void checkTimeouts();
 
     /*! @brief Closes at once, whatever is under way. */
     void close();
@@ -100,7 +100,7 @@
     /*! @brief Whether nothing of a request has come and nothing of an answer waits to be sent. */
     [[nodiscard]] bool isIdle() const noexcept
     {
-        return m_queue.isEmpty() && !m_held.has_value() && m_reader.state() == ReadState::waiting && m_stream.unsentBytes() == 0;
+        return m_queue.isEmpty() && !m_waiting.has_value() && m_reader.state() == ReadState::waiting && m_stream.unsentBytes() == 0;
     }
 
 private:
@@ -117,14 +117,14 @@
     [[nodiscard]] bool startNext();
     [[nodiscard]] bool readNext();
     void refuse(int status);
-    void takeNoMore();
+    void ignoreFurtherRequests();
     [[nodiscard]] bool sendNext();
-    void endAfter(Response response);
+    void sendFinal(Response response);
     void updateReading();
-    void over();
+    void shutDown();
 
     /*! @brief A request that has been read and has to wait for those ahead of it. */
-    struct HeldRequest
+    struct WaitingRequest
     {
         Request request;
         SteadyTime readAt;
@@ -137,21 +137,21 @@
     net::TcpStream m_stream;
     const Clock &m_clock;
     /*! @brief When the connection fell idle, or the first byte of a request came, or the last answer was sent. */
-    SteadyTime m_since;
+    SteadyTime m_phaseStart;
     /*! @brief When bytes last came. */
     SteadyTime m_readAt;
     AnswerQueue m_queue;
-    std::optional<HeldRequest> m_held;
+    std::optional<WaitingRequest> m_waiting;
     /*! @brief The last answer of the queue ends the connection. */
-    bool m_takesNoMore{};
+    bool m_ignoresRequests{};
     /*! @brief The caller has said that it sends no more requests, and has kept to it. */
-    bool m_isLastByCaller{};
+    bool m_isFinalRequest{};
     bool m_isRetiring{};
     bool m_isProceeding{};
     /*! @brief The last answer is on its way and the caller is to close. */
-    bool m_isEnding{};
-    bool m_isOver{};
-    bool m_hasContinued{};
+    bool m_isLingering{};
+    bool m_isClosed{};
+    bool m_hasSentContinue{};
 };
 
 } // namespace egretlatch::http
--- a/src/egretlatch/net/descriptor_set.cpp
+++ b/src/egretlatch/net/descriptor_set.cpp
@@ -42,7 +42,7 @@
 
 void DescriptorSet::add(const int descriptor, const Interest interest, Handler handler)
 {
-    m_watched.insert_or_assign(descriptor, Watched{.number = ++m_lastNumber, .handler = std::move(handler)});
+    m_watched.insert_or_assign(descriptor, Watched{.generation = ++m_lastGeneration, .handler = std::move(handler)});
     epoll_event event = internal::eventOf(descriptor, interest);
     epoll_ctl(m_epoll, EPOLL_CTL_ADD, descriptor, &event);
 }
@@ -68,12 +68,12 @@
 {
     std::array<epoll_event, internal::eventBatch> events; // NOLINT(cppcoreguidelines-pro-type-member-init): the kernel fills what is read
     const int count = epoll_wait(m_epoll, events.data(), internal::eventBatch, waitMs);
-    const std::uint64_t newest = m_lastNumber;
+    const std::uint64_t newest = m_lastGeneration;
     for (int index = 0; index < count; ++index) {
         const epoll_event &event = events.at(static_cast<std::size_t>(index));
         const auto found = m_watched.find(event.data.fd);
         // A handler earlier in the batch may have closed a descriptor and opened another one under the same number.
-        if (found == m_watched.end() || found->second.number > newest) {
+        if (found == m_watched.end() || found->second.generation > newest) {
             continue;
         }
         const Handler handler = found->second.handler;
--- a/src/egretlatch/net/descriptor_set.hpp
+++ b/src/egretlatch/net/descriptor_set.hpp
@@ -68,13 +68,13 @@
 private:
     struct Watched
     {
-        std::uint64_t number{};
+        std::uint64_t generation{};
         Handler handler;
     };
 
     int m_epoll;
     std::unordered_map<int, Watched> m_watched;
-    std::uint64_t m_lastNumber{};
+    std::uint64_t m_lastGeneration{};
 };
 
 } // namespace egretlatch::net
--- a/src/egretlatch/net/endpoint.cpp
+++ b/src/egretlatch/net/endpoint.cpp
@@ -18,9 +18,9 @@
     Endpoint endpoint{.address = std::string{text.substr(0, colon)}};
     const char *const end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data() + colon + 1, end, endpoint.port);
-    in_addr number{};
-    const bool isNumber = inet_pton(AF_INET, endpoint.address.c_str(), &number) == 1;
-    if (parsed.ec != std::errc{} || parsed.ptr != end || endpoint.port == 0 || !isNumber) {
+    in_addr parsedAddress{};
+    const bool isAddress = inet_pton(AF_INET, endpoint.address.c_str(), &parsedAddress) == 1;
+    if (parsed.ec != std::errc{} || parsed.ptr != end || endpoint.port == 0 || !isAddress) {
         return std::nullopt;
     }
     return endpoint;
--- a/src/egretlatch/net/event_dispatcher.cpp
+++ b/src/egretlatch/net/event_dispatcher.cpp
@@ -49,8 +49,8 @@
 void EventDispatcher::registerSocketNotifier(QSocketNotifier *const notifier)
 {
     const int descriptor = static_cast<int>(notifier->socket());
-    const auto [place, isNew] = m_notifiers.try_emplace(descriptor);
-    placeOf(place->second, notifier) = notifier;
+    const auto [entry, isNew] = m_notifiers.try_emplace(descriptor);
+    slotFor(entry->second, notifier) = notifier;
     if (isNew) {
         m_descriptors.add(descriptor, {}, [this, descriptor](const std::uint32_t events) {
             notify(descriptor, events);
@@ -62,20 +62,20 @@
 void EventDispatcher::unregisterSocketNotifier(QSocketNotifier *const notifier)
 {
     const int descriptor = static_cast<int>(notifier->socket());
-    const auto place = m_notifiers.find(descriptor);
-    if (place == m_notifiers.end()) {
+    const auto entry = m_notifiers.find(descriptor);
+    if (entry == m_notifiers.end()) {
         return;
     }
-    placeOf(place->second, notifier) = nullptr;
-    if (place->second.read == nullptr && place->second.write == nullptr) {
-        m_notifiers.erase(place);
+    slotFor(entry->second, notifier) = nullptr;
+    if (entry->second.read == nullptr && entry->second.write == nullptr) {
+        m_notifiers.erase(entry);
         m_descriptors.remove(descriptor);
         return;
     }
     watch(descriptor);
 }
 
-QSocketNotifier *&EventDispatcher::placeOf(Notifiers &notifiers, const QSocketNotifier *const notifier) const
+QSocketNotifier *&EventDispatcher::slotFor(Notifiers &notifiers, const QSocketNotifier *const notifier) const
 {
     return notifier->type() == QSocketNotifier::Write ? notifiers.write : notifiers.read;
 }
@@ -88,20 +88,20 @@
 
 void EventDispatcher::notify(const int descriptor, const std::uint32_t events)
 {
-    constexpr std::uint32_t ends = EPOLLHUP | EPOLLERR | EPOLLRDHUP;
+    constexpr std::uint32_t closeEvents = EPOLLHUP | EPOLLERR | EPOLLRDHUP;
     QEvent event{QEvent::SockAct};
-    const auto tell = [this, descriptor, &event](QSocketNotifier *Notifiers::*const which) {
+    const auto activate = [this, descriptor, &event](QSocketNotifier *Notifiers::*const slot) {
         // The first of two may have taken the second one away.
-        const auto place = m_notifiers.find(descriptor);
-        if (place != m_notifiers.end() && place->second.*which != nullptr) {
-            QCoreApplication::sendEvent(place->second.*which, &event);
+        const auto entry = m_notifiers.find(descriptor);
+        if (entry != m_notifiers.end() && entry->second.*slot != nullptr) {
+            QCoreApplication::sendEvent(entry->second.*slot, &event);
         }
     };
-    if ((events & (EPOLLIN | ends)) != 0U) {
-        tell(&Notifiers::read);
+    if ((events & (EPOLLIN | closeEvents)) != 0U) {
+        activate(&Notifiers::read);
     }
-    if ((events & (EPOLLOUT | ends)) != 0U) {
-        tell(&Notifiers::write);
+    if ((events & (EPOLLOUT | closeEvents)) != 0U) {
+        activate(&Notifiers::write);
     }
 }
 
--- a/src/egretlatch/net/event_dispatcher.hpp
+++ b/src/egretlatch/net/event_dispatcher.hpp
@@ -58,7 +58,7 @@
         QSocketNotifier *write{};
     };
 
-    [[nodiscard]] QSocketNotifier *&placeOf(Notifiers &notifiers, const QSocketNotifier *notifier) const;
+    [[nodiscard]] QSocketNotifier *&slotFor(Notifiers &notifiers, const QSocketNotifier *notifier) const;
     void watch(int descriptor);
     void notify(int descriptor, std::uint32_t events);
     [[nodiscard]] int waitMs() const;
--- a/src/egretlatch/net/tcp_acceptor.cpp
+++ b/src/egretlatch/net/tcp_acceptor.cpp
@@ -24,9 +24,9 @@
 constexpr int acceptBatch = 32;
 // Connections that come this close together are taken several at a time. Else one is, since looking for a second that is not
 // there costs a system call for each connection.
-constexpr std::chrono::milliseconds crowded{1};
+constexpr std::chrono::milliseconds burstInterval{1};
 // A caller that reads slowly holds its window shut, which counts as unacknowledged too, so it has longer than other sides.
-constexpr std::chrono::seconds unacknowledgedByCaller{15};
+constexpr std::chrono::seconds callerUnacknowledgedLimit{15};
 
 } // namespace internal
 
@@ -47,7 +47,7 @@
     m_descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     const int on = 1;
     setsockopt(m_descriptor, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    setTcpOptions(m_descriptor, internal::unacknowledgedByCaller);
+    setTcpOptions(m_descriptor, internal::callerUnacknowledgedLimit);
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(endpoint.port);
@@ -77,9 +77,9 @@
 void TcpAcceptor::acceptAvailable()
 {
     const SteadyTime now = m_clock.steadyNow();
-    const int most = now - m_lastAccept < internal::crowded ? internal::acceptBatch : 1;
+    const int maxAccepts = now - m_lastAccept < internal::burstInterval ? internal::acceptBatch : 1;
     m_lastAccept = now;
-    for (int count = 0; count < most && m_descriptor >= 0; ++count) {
+    for (int count = 0; count < maxAccepts && m_descriptor >= 0; ++count) {
         const int accepted = ::accept4(m_descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (accepted < 0) {
             return;
--- a/src/egretlatch/net/tcp_options.hpp
+++ b/src/egretlatch/net/tcp_options.hpp
@@ -30,7 +30,7 @@
  * only a probe shows it.
  * @param descriptor The socket.
  */
-inline void probeWhenIdle(const int descriptor)
+inline void enableKeepalive(const int descriptor)
 {
     constexpr int on = 1;
     constexpr int idleSeconds = 1;
--- a/src/egretlatch/net/tcp_stream.cpp
+++ b/src/egretlatch/net/tcp_stream.cpp
@@ -43,7 +43,7 @@
         return false;
     }
     setTcpOptions(m_descriptor, internal::unacknowledgedLimit);
-    probeWhenIdle(m_descriptor);
+    enableKeepalive(m_descriptor);
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(endpoint.port);
@@ -69,7 +69,7 @@
 {
     m_interest = {.read = !m_isConnecting, .write = m_isConnecting};
     m_poller.add(m_descriptor, m_interest, [this](const std::uint32_t events) {
-        take(events);
+        handleEvents(events);
     });
 }
 
@@ -92,7 +92,7 @@
 
 void TcpStream::finishWriting()
 {
-    m_mustFinish = true;
+    m_isFinishing = true;
     if (m_descriptor >= 0 && m_unsent.isEmpty()) {
         ::shutdown(m_descriptor, SHUT_WR);
     }
@@ -109,7 +109,7 @@
     m_unsent.clear();
 }
 
-void TcpStream::take(const std::uint32_t events)
+void TcpStream::handleEvents(const std::uint32_t events)
 {
     if (m_isConnecting) {
         finishConnecting();
@@ -178,7 +178,7 @@
         }
         m_unsent.remove(0, static_cast<qsizetype>(count));
     }
-    if (m_unsent.isEmpty() && m_mustFinish) {
+    if (m_unsent.isEmpty() && m_isFinishing) {
         ::shutdown(m_descriptor, SHUT_WR);
     }
     updateInterest();
@@ -196,13 +196,13 @@
     }
 }
 
-void TcpStream::end(const StreamEnd how)
+void TcpStream::end(const StreamEnd reason)
 {
     m_hasEnded = true;
     m_poller.removeClosing(m_descriptor);
     ::close(m_descriptor);
     m_descriptor = -1;
-    m_listener.onEnd(how);
+    m_listener.onEnd(reason);
 }
 
 } // namespace egretlatch::net
--- a/src/egretlatch/net/tcp_stream.hpp
+++ b/src/egretlatch/net/tcp_stream.hpp
@@ -104,12 +104,12 @@
 
 private:
     void watch();
-    void take(std::uint32_t events);
+    void handleEvents(std::uint32_t events);
     void finishConnecting();
     void readAvailable();
     void flush();
     void updateInterest();
-    void end(StreamEnd how);
+    void end(StreamEnd reason);
 
     Poller &m_poller;
     StreamListener &m_listener;
@@ -117,7 +117,7 @@
     bool m_isConnecting{};
     bool m_isReading{true};
     bool m_hasEnded{};
-    bool m_mustFinish{};
+    bool m_isFinishing{};
     Poller::Interest m_interest;
     QByteArray m_unsent;
 };
--- a/src/egretlatch/retry/shard_grants.cpp
+++ b/src/egretlatch/retry/shard_grants.cpp
@@ -174,7 +174,7 @@
     case store::WriteStep::askLater:
         shard.askAt = now + m_times.retryInterval / 2 + std::chrono::milliseconds{m_random.below(static_cast<std::uint64_t>(m_times.retryInterval.count()))};
         return;
-    case store::WriteStep::effected:
+    case store::WriteStep::applied:
         shard.row = shard.written;
         break;
     case store::WriteStep::rejected:
--- a/src/egretlatch/sidecar/sidecar.cpp
+++ b/src/egretlatch/sidecar/sidecar.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-#include <egretlatch/core/fresh_life.hpp>
+#include <egretlatch/core/new_incarnation.hpp>
 #include <egretlatch/platform/bounds.hpp>
 #include <egretlatch/platform/configuration_document.hpp>
 #include <egretlatch/platform/names.hpp>
@@ -45,8 +45,8 @@
     , m_logger{m_settings.logLevel, m_settings.id.value, m_logSink}
     , m_requestLog{m_logger}
     , m_levelLog{m_logger}
-    , m_random{freshSeed()}
-    , m_incarnation{incarnationAt(m_clock)}
+    , m_random{randomSeed()}
+    , m_incarnation{newIncarnation(m_clock)}
     , m_peers{m_poller,
               m_clock,
               m_settings.id,
--- a/src/egretlatch/store/backoff.hpp
+++ b/src/egretlatch/store/backoff.hpp
@@ -18,10 +18,10 @@
      * @param first Longest wait after the first failure.
      * @param most Longest wait of all.
      */
-    Backoff(const Duration first, const Duration most)
-        : m_first{first}
-        , m_most{most}
-        , m_next{first}
+    Backoff(const Duration initialWait, const Duration maxWait)
+        : m_initialWait{initialWait}
+        , m_maxWait{maxWait}
+        , m_next{initialWait}
     {
     }
 
@@ -34,21 +34,21 @@
      */
     [[nodiscard]] Duration next(RandomSource &random)
     {
-        const Duration longest = m_next;
-        m_next = std::min(m_most, m_next * 2);
-        const Duration half = longest / 2;
-        return half + Duration{static_cast<Duration::rep>(random.below(static_cast<std::uint64_t>((longest - half).count()) + 1))};
+        const Duration upperBound = m_next;
+        m_next = std::min(m_maxWait, m_next * 2);
+        const Duration half = upperBound / 2;
+        return half + Duration{static_cast<Duration::rep>(random.below(static_cast<std::uint64_t>((upperBound - half).count()) + 1))};
     }
 
     /*! @brief Starts again from the first wait, after a success. */
     void reset() noexcept
     {
-        m_next = m_first;
+        m_next = m_initialWait;
     }
 
 private:
-    Duration m_first;
-    Duration m_most;
+    Duration m_initialWait;
+    Duration m_maxWait;
     Duration m_next;
 };
 
--- a/src/egretlatch/store/identified_write.cpp
+++ b/src/egretlatch/store/identified_write.cpp
@@ -3,31 +3,31 @@
 namespace egretlatch::store
 {
 
-IdentifiedWrite::IdentifiedWrite(TableWrite write, std::string witness, IsMine isMine)
+IdentifiedWrite::IdentifiedWrite(TableWrite write, std::string marker, IsOwnValue isOwnValue)
     : m_write{std::move(write)}
-    , m_witness{std::move(witness)}
-    , m_isMine{std::move(isMine)}
+    , m_markerKey{std::move(marker)}
+    , m_isOwnValue{std::move(isOwnValue)}
 {
 }
 
 Request IdentifiedWrite::request() const
 {
     if (m_isReading) {
-        return TableRead{.key = m_witness};
+        return TableRead{.key = m_markerKey};
     }
     return m_write;
 }
 
 WriteStep IdentifiedWrite::take(const Outcome &outcome)
 {
-    return m_isReading ? takeOfRead(outcome) : takeOfWrite(outcome);
+    return m_isReading ? handleReadOutcome(outcome) : handleWriteOutcome(outcome);
 }
 
-WriteStep IdentifiedWrite::takeOfWrite(const Outcome &outcome)
+WriteStep IdentifiedWrite::handleWriteOutcome(const Outcome &outcome)
 {
     if (outcome.has_value()) {
-        m_isUnsure = false;
-        return WriteStep::effected;
+        m_isOutcomeUnknown = false;
+        return WriteStep::applied;
     }
     switch (outcome.error().code) {
     case ErrorCode::conflict:
@@ -36,7 +36,7 @@
         m_isReading = true;
         return WriteStep::ask;
     case ErrorCode::timedOut:
-        m_isUnsure = true;
+        m_isOutcomeUnknown = true;
         m_isReading = true;
         return WriteStep::askLater;
     default:
@@ -44,7 +44,7 @@
     }
 }
 
-WriteStep IdentifiedWrite::takeOfRead(const Outcome &outcome)
+WriteStep IdentifiedWrite::handleReadOutcome(const Outcome &outcome)
 {
     if (!outcome.has_value()) {
         return WriteStep::askLater;
@@ -54,12 +54,12 @@
         return WriteStep::askLater;
     }
     m_row = reply->rows.empty() ? std::nullopt : std::optional{reply->rows.front()};
-    if (m_row.has_value() && m_isMine(m_row->value)) {
-        m_isUnsure = false;
-        return WriteStep::effected;
+    if (m_row.has_value() && m_isOwnValue(m_row->value)) {
+        m_isOutcomeUnknown = false;
+        return WriteStep::applied;
     }
     if (m_hasConflicted) {
-        m_isUnsure = false;
+        m_isOutcomeUnknown = false;
         return WriteStep::rejected;
     }
     // Not there yet: the lost attempt may still be on its way. Sending the same write again is safe, for the conditions
--- a/test/egretlatch/core/bounded_log_sink.cpp
+++ b/test/egretlatch/core/bounded_log_sink.cpp
@@ -53,7 +53,7 @@
     // write of a log line.
     const Pipe pipe;
     fakes::ManualClock clock;
-    BoundedLogSink sink{pipe.ends[1], clock, {.linesPerSecond = 1'000'000, .allLinesPerSecond = 1'000'000, .heldBytes = 65536}};
+    BoundedLogSink sink{pipe.ends[1], clock, {.linesPerSecond = 1'000'000, .totalLinesPerSecond = 1'000'000, .maxBufferedBytes = 65536}};
     sink.setOmissionLine([](const std::string &event, const std::uint64_t count) {
         return "left out " + event + " " + std::to_string(count) + "\n";
     });
@@ -75,7 +75,7 @@
 {
     const Pipe pipe;
     fakes::ManualClock clock;
-    BoundedLogSink sink{pipe.ends[1], clock, {.linesPerSecond = 3, .heldBytes = 65536}};
+    BoundedLogSink sink{pipe.ends[1], clock, {.linesPerSecond = 3, .maxBufferedBytes = 65536}};
     for (int number = 0; number < 10; ++number) {
         sink.write("refused", "r\n");
     }
--- a/test/egretlatch/http/pipelining.cpp
+++ b/test/egretlatch/http/pipelining.cpp
@@ -55,7 +55,7 @@
         m_server.setOverlapRule([](const Request &request) {
             return request.method == "GET";
         });
-        listenSomewhere();
+        listenOnFreePort();
         m_caller = ::socket(AF_INET, SOCK_STREAM, 0);
         const sockaddr_in address = addressOf(m_port);
         REQUIRE(::connect(m_caller, reinterpret_cast<const sockaddr *>(&address), sizeof address) == 0);
@@ -114,25 +114,25 @@
     /*! @brief Waits for so many bodies or status lines other than 200, or for the end. */
     [[nodiscard]] std::vector<std::string> receive(const std::size_t count)
     {
-        std::vector<std::string> got;
+        std::vector<std::string> received;
         ResponseReader reader{{}};
         REQUIRE(fakes::runUntil([&] {
             char buffer[65536];
             const ssize_t size = ::recv(m_caller, buffer, sizeof buffer, MSG_DONTWAIT);
             if (size == 0) {
-                got.emplace_back("end");
+                received.emplace_back("end");
                 return true;
             }
             reader.feed(QByteArray{buffer, static_cast<qsizetype>(std::max<ssize_t>(size, 0))});
             while (reader.state() == ReadState::complete) {
                 const Response response = reader.take();
-                got.push_back(response.status == 200 ? response.body.toStdString() : std::to_string(response.status));
-                got.back() += response.keepsConnection ? "" : " closes";
+                received.push_back(response.status == 200 ? response.body.toStdString() : std::to_string(response.status));
+                received.back() += response.keepsConnection ? "" : " closes";
                 reader.feed({});
             }
-            return got.size() >= count;
+            return received.size() >= count;
         }));
-        return got;
+        return received;
     }
 
     std::vector<std::string> started;
@@ -149,7 +149,7 @@
         return address;
     }
 
-    void listenSomewhere()
+    void listenOnFreePort()
     {
         const int probe = ::socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in address = addressOf(0);
@@ -356,10 +356,10 @@
             while (answered + open.size() < exchange.started.size()) {
                 open.push_back(exchange.started[answered + open.size()]);
             }
-            const bool hasLone = std::any_of(open.begin(), open.end(), [&kinds](const std::string &name) {
+            const bool hasExclusive = std::any_of(open.begin(), open.end(), [&kinds](const std::string &name) {
                 return kinds[std::stoul(name)];
             });
-            RC_ASSERT(!hasLone || open.size() == 1);
+            RC_ASSERT(!hasExclusive || open.size() == 1);
             const std::size_t which = order.empty() ? 0 : order[step++ % order.size()] % open.size();
             exchange.answer(open[which]);
             open.erase(open.begin() + static_cast<std::ptrdiff_t>(which));
--- a/test/egretlatch/http/reader.cpp
+++ b/test/egretlatch/http/reader.cpp
@@ -42,7 +42,7 @@
     reader.feed("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\nGET /next HTTP/1.1\r\nHost: x\r\n\r\n");
     REQUIRE(reader.state() == ReadState::complete);
     CHECK(reader.take().body == "abc");
-    CHECK(reader.hasRest());
+    CHECK(reader.hasUnparsed());
     reader.feed({});
     REQUIRE(reader.state() == ReadState::complete);
     CHECK(reader.take().target == "/next");
@@ -93,7 +93,7 @@
     reader.feed("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\n");
     REQUIRE(reader.state() == ReadState::complete);
     CHECK(reader.take().body == "a");
-    CHECK(reader.hasRest());
+    CHECK(reader.hasUnparsed());
 }
 
 TEST_CASE("no bytes bring a reader down, and cutting them elsewhere changes nothing")
--- a/test/egretlatch/net/event_dispatcher.cpp
+++ b/test/egretlatch/net/event_dispatcher.cpp
@@ -107,16 +107,16 @@
     REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, pair) == 0);
     int other[2];
     REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, other) == 0);
-    std::vector<std::string> told;
+    std::vector<std::string> handled;
     thread.run([&] {
         auto *const poller = new net::Poller;
         auto *const notifier = new QSocketNotifier{other[0], QSocketNotifier::Read};
         poller->add(pair[0], {.read = true, .write = false}, [&, poller, notifier](const std::uint32_t events) {
             CHECK((events & EPOLLIN) != 0U);
-            told.emplace_back("watched");
+            handled.emplace_back("watched");
             poller->remove(pair[0]);
             QObject::connect(notifier, &QSocketNotifier::activated, notifier, [&, poller, notifier] {
-                told.emplace_back("notified");
+                handled.emplace_back("notified");
                 delete notifier;
                 delete poller;
                 thread.quit();
@@ -125,7 +125,7 @@
         });
         REQUIRE(::write(pair[1], "a", 1) == 1);
     });
-    CHECK(told == std::vector<std::string>{"watched", "notified"});
+    CHECK(handled == std::vector<std::string>{"watched", "notified"});
     for (const int descriptor : {pair[0], pair[1], other[0], other[1]}) {
         ::close(descriptor);
     }
@@ -134,21 +134,21 @@
 TEST_CASE("what another thread posts wakes a loop that has nothing to wait for")
 {
     DispatchedThread thread;
-    bool hasCome = false;
+    bool hasArrived = false;
     QThread *poster = nullptr;
     thread.run([&] {
         auto *const receiver = new QObject;
         poster = QThread::create([&, receiver] {
             QThread::msleep(20);
             QMetaObject::invokeMethod(receiver, [&, receiver] {
-                hasCome = true;
+                hasArrived = true;
                 delete receiver;
                 thread.quit();
             });
         });
         poster->start();
     });
-    CHECK(hasCome);
+    CHECK(hasArrived);
     CHECK(poster->wait(10'000));
     delete poster;
 }
--- a/test/egretlatch/net/tcp_stream.cpp
+++ b/test/egretlatch/net/tcp_stream.cpp
@@ -16,10 +16,10 @@
 {
 
 /*! @brief The far end of one connection; the kernel passes nothing to it any more once it is silent, so that no probe is answered. */
-class FarEnd
+class RemotePeer
 {
 public:
-    FarEnd()
+    RemotePeer()
     {
         m_listener = ::socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in address{};
@@ -32,10 +32,10 @@
         m_port = ntohs(address.sin_port);
     }
 
-    FarEnd(const FarEnd &) = delete;
-    FarEnd &operator=(const FarEnd &) = delete;
+    RemotePeer(const RemotePeer &) = delete;
+    RemotePeer &operator=(const RemotePeer &) = delete;
 
-    ~FarEnd()
+    ~RemotePeer()
     {
         ::close(m_connection);
         ::close(m_listener);
@@ -51,10 +51,10 @@
         m_connection = ::accept(m_listener, nullptr, nullptr);
     }
 
-    void goSilent() const
+    void dropIncoming() const
     {
-        sock_filter letNothingIn{.code = BPF_RET | BPF_K, .jt = 0, .jf = 0, .k = 0};
-        const sock_fprog program{.len = 1, .filter = &letNothingIn};
+        sock_filter dropAll{.code = BPF_RET | BPF_K, .jt = 0, .jf = 0, .k = 0};
+        const sock_fprog program{.len = 1, .filter = &dropAll};
         REQUIRE(::setsockopt(m_connection, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program) == 0);
     }
 
@@ -90,15 +90,15 @@
 {
     fakes::ensureApplication();
     net::Poller poller;
-    FarEnd farEnd;
+    RemotePeer remotePeer;
     Listener listener;
     net::TcpStream stream{poller, listener};
-    REQUIRE(stream.open(farEnd.endpoint()));
-    farEnd.accept();
+    REQUIRE(stream.open(remotePeer.endpoint()));
+    remotePeer.accept();
     REQUIRE(fakes::runUntil([&listener] {
         return listener.isOpen;
     }));
-    farEnd.goSilent();
+    remotePeer.dropIncoming();
     CHECK(fakes::runUntil([&listener] {
         return listener.ended.has_value();
     }));
--- a/test/egretlatch/store/http_codec.cpp
+++ b/test/egretlatch/store/http_codec.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-void checkSurvives(const Request &request)
+void checkRoundTrip(const Request &request)
 {
     const Result<Request> read = decodeRequest(encodeRequest(request));
     REQUIRE(read.has_value());
@@ -20,13 +20,13 @@
 
 TEST_CASE("each request to the platform survives the way through HTTP")
 {
-    checkSurvives(TableRead{.key = "head"});
-    checkSurvives(TableScan{.prefix = "a/", .after = "a/b", .limit = 10});
-    checkSurvives(TableWrite{.conditions = {{.key = "k", .version = 3}},
-                             .writes = {{.key = "k", .value = std::string("\0\xff", 2)}, {.key = "j", .value = std::nullopt}}});
-    checkSurvives(ObjectPut{.name = "a/b c?d&e", .bytes = "bytes"});
-    checkSurvives(ObjectGet{.name = "a/b%20c"});
-    checkSurvives(ObjectList{.prefix = "a/b&c", .after = "a/b+c", .limit = 5});
+    checkRoundTrip(TableRead{.key = "head"});
+    checkRoundTrip(TableScan{.prefix = "a/", .after = "a/b", .limit = 10});
+    checkRoundTrip(TableWrite{.conditions = {{.key = "k", .version = 3}},
+                              .writes = {{.key = "k", .value = std::string("\0\xff", 2)}, {.key = "j", .value = std::nullopt}}});
+    checkRoundTrip(ObjectPut{.name = "a/b c?d&e", .bytes = "bytes"});
+    checkRoundTrip(ObjectGet{.name = "a/b%20c"});
+    checkRoundTrip(ObjectList{.prefix = "a/b&c", .after = "a/b+c", .limit = 5});
 }
 
 TEST_CASE("any bytes in a row survive the way through HTTP")
