--- a/src/egretlatch/configuration/submission.hpp
+++ b/src/egretlatch/configuration/submission.hpp
@@ -114,9 +114,9 @@
         writeHead,
     };
 
-    [[nodiscard]] SubmissionStep takeHead(const store::RowsReply &reply);
-    [[nodiscard]] SubmissionStep takeVersion(const store::RowsReply &reply);
-    [[nodiscard]] SubmissionStep takeWrite(const store::Outcome &outcome);
+    [[nodiscard]] SubmissionStep handleHeadRow(const store::RowsReply &reply);
+    [[nodiscard]] SubmissionStep handleVersionRow(const store::RowsReply &reply);
+    [[nodiscard]] SubmissionStep handleWriteOutcome(const store::Outcome &outcome);
     [[nodiscard]] SubmissionStep finish(SubmissionEnd end, const std::optional<Head> &row = std::nullopt);
     [[nodiscard]] store::IdentifiedWrite makeWrite(std::uint64_t headRowVersion) const;
 
--- a/src/egretlatch/daemon/daemon.cpp
+++ b/src/egretlatch/daemon/daemon.cpp
@@ -138,7 +138,7 @@
     if (m_settings.isOpenToOperators) {
         m_logger.warning("operators' reads need no token: operatorAccess is open");
     }
-    if (m_settings.ownsUnnamedKeys) {
+    if (m_settings.ownsKeysWithoutOwner) {
         m_logger.warning("keys without an owner are remembered by this entry alone: a resend to another entry, or after a restart, may run twice");
     }
     m_logger.info("started", {{"callers", m_settings.callerPort}, {"peers", m_settings.peerPort}, {"backend", m_settings.backendUrl}});
@@ -179,7 +179,7 @@
         builder.setKeyGrants({});
         builder.followPlatform();
     }
-    builder.setUnownedKeys(m_settings.ownsUnnamedKeys ? retry::UnownedKeys::entryMemory : retry::UnownedKeys::refuse);
+    builder.setUnownedKeys(m_settings.ownsKeysWithoutOwner ? retry::UnownedKeys::entryMemory : retry::UnownedKeys::refuse);
     applyPolicy(m_settings.policy, m_random, builder);
     return builder.build();
 }
--- a/src/egretlatch/retry/shard_grants.cpp
+++ b/src/egretlatch/retry/shard_grants.cpp
@@ -111,7 +111,7 @@
     });
 }
 
-void ShardGrants::noteAsked(const store::RequestId id, const store::Request &request)
+void ShardGrants::noteRequestSent(const store::RequestId id, const store::Request &request)
 {
     if (std::holds_alternative<store::TableScan>(request)) {
         m_asked.emplace(id, std::nullopt);
