--- a/src/egretlatch/core/logger.cpp
+++ b/src/egretlatch/core/logger.cpp
@@ -36,7 +36,7 @@
 public:
     void write(std::string_view /*event*/, const std::string &line) override
     {
-        // One write a line, so that lines of several threads do not mix.
+        // One write per line, so that lines of several threads do not interleave.
         std::fwrite(line.data(), 1, line.size(), stderr);
     }
 };
@@ -76,7 +76,7 @@
 
 void Logger::log(const LogLevel level, const std::string_view event, const std::initializer_list<LogField> fields) const
 {
-    if (level >= m_least) {
+    if (level >= m_minLevel) {
         m_sink.write(event, line(level, event, fields));
     }
 }
