--- a/test/egretlatch/configuration/submission.cpp
+++ b/test/egretlatch/configuration/submission.cpp
@@ -26,7 +26,7 @@
     return request;
 }
 
-[[nodiscard]] cli::CommandResult run(standin::PlatformStore &store, const SubmissionRequest &request, std::deque<fakes::Fate> fates = {})
+[[nodiscard]] cli::CommandResult run(standin::PlatformStore &store, const SubmissionRequest &request, std::deque<fakes::ScriptedOutcome> fates = {})
 {
     SeededRandom random{1};
     fakes::FakePlatformPort port{store, std::move(fates)};
@@ -38,7 +38,7 @@
     return *decodeHead(std::get<store::RowsReply>(*store.apply(store::TableRead{.key = headKey})).rows.front().value);
 }
 
-constexpr std::deque<fakes::Fate>::size_type requestsOfASubmission = 3;
+constexpr std::deque<fakes::ScriptedOutcome>::size_type requestsOfASubmission = 3;
 
 } // namespace
 
@@ -58,10 +58,10 @@
 {
     // After a lost response, a deployment pipeline could report a failure for a change that is in force, or submit it twice
     // as two versions. Here each request of a submission is lost in turn, or its response, or the platform is down.
-    for (const fakes::Fate fate : {fakes::Fate::answerLost, fakes::Fate::requestLost, fakes::Fate::down}) {
+    for (const fakes::ScriptedOutcome fate : {fakes::ScriptedOutcome::answerLost, fakes::ScriptedOutcome::requestLost, fakes::ScriptedOutcome::down}) {
         for (std::size_t position = 0; position < requestsOfASubmission; ++position) {
             standin::PlatformStore store;
-            std::deque<fakes::Fate> fates(position, fakes::Fate::answered);
+            std::deque<fakes::ScriptedOutcome> fates(position, fakes::ScriptedOutcome::answered);
             fates.push_back(fate);
             CHECK(run(store, makeRequest(0, "first"), fates).code == cli::ExitCode::success);
             CHECK(readHead(store).version == 1);
@@ -91,8 +91,8 @@
 TEST_CASE("a submission abandoned while its result is unknown reports this and can be resumed")
 {
     standin::PlatformStore store;
-    std::deque<fakes::Fate> fates{fakes::Fate::answered, fakes::Fate::answered, fakes::Fate::answerLost};
-    fates.insert(fates.end(), 100, fakes::Fate::down);
+    std::deque<fakes::ScriptedOutcome> fates{fakes::ScriptedOutcome::answered, fakes::ScriptedOutcome::answered, fakes::ScriptedOutcome::answerLost};
+    fates.insert(fates.end(), 100, fakes::ScriptedOutcome::down);
     CHECK(run(store, makeRequest(0, "first"), fates).code == cli::ExitCode::unsure);
     CHECK(run(store, makeRequest(0, "first")).code == cli::ExitCode::success);
     CHECK(readHead(store).version == 1);
--- a/test/fakes/table.hpp
+++ b/test/fakes/in_memory_table.hpp
@@ -1,5 +1,5 @@
-#ifndef TEST_FAKES_TABLE_HPP
-#define TEST_FAKES_TABLE_HPP
+#ifndef TEST_FAKES_IN_MEMORY_TABLE_HPP
+#define TEST_FAKES_IN_MEMORY_TABLE_HPP
 
 #include <algorithm>
 #include <cstdint>
@@ -12,7 +12,7 @@
 {
 
 /*! @brief The platform's table, in memory: conditional writes of several rows, all or none. */
-class Table
+class InMemoryTable
 {
 public:
     /**
