--- a/standin/backend_server.cpp
+++ b/standin/backend_server.cpp
@@ -25,7 +25,7 @@
 constexpr int internalError = 500;
 constexpr int badGateway = 502;
 constexpr int serviceUnavailable = 503;
-constexpr int firstError = 400;
+constexpr int minErrorStatus = 400;
 
 static void write(QHttpServerResponder &responder, const int status, const QByteArray &body, const char *const verdict = nullptr)
 {
@@ -90,14 +90,14 @@
 {
     egretlatch::settings::Problems problems;
     egretlatch::settings::JsonObjectReader reader{egretlatch::settings::parseJson(request.body(), problems), "", problems};
-    Behaviour behaviour;
+    BackendBehaviour behaviour;
     behaviour.slowdown = reader.number("slowdown", {0.0, 1e6}, 1.0);
     behaviour.failShare = reader.number("failShare", {0.0, 1.0}, 0.0);
     behaviour.rejectShare = reader.number("rejectShare", {0.0, 1.0}, 0.0);
-    behaviour.cutShare = reader.number("cutShare", {0.0, 1.0}, 0.0);
+    behaviour.disconnectShare = reader.number("cutShare", {0.0, 1.0}, 0.0);
     behaviour.crashOn = reader.text("crashOn", "");
     behaviour.hangs = reader.flag("hangs", false);
-    behaviour.lies = reader.flag("lies", false);
+    behaviour.reportsIdle = reader.flag("lies", false);
     reader.finish();
     if (egretlatch::settings::hasError(problems)) {
         makeResponder(request, socket).write(QByteArray::fromStdString(toLine("control", problems.front())), "text/plain", internal::StatusCode::BadRequest);
@@ -136,26 +136,26 @@
         .key = request.value(egretlatch::daemon::keyHeader),
         .body = request.body(),
     });
-    m_waiting.push_back(std::move(run));
-    startWaiting();
+    m_queue.push_back(std::move(run));
+    startQueued();
 }
 
-void BackendServer::startWaiting()
+void BackendServer::startQueued()
 {
-    while (m_running < m_options.slots && !m_waiting.empty()) {
-        const RunPtr run = m_waiting.front();
-        m_waiting.pop_front();
+    while (m_running < m_options.slots && !m_queue.empty()) {
+        const RunPtr run = m_queue.front();
+        m_queue.pop_front();
         if (!run->socket.isNull() && run->socket->state() == QAbstractSocket::ConnectedState) {
-            begin(run);
+            startRun(run);
         }
     }
 }
 
-void BackendServer::begin(const RunPtr &run)
+void BackendServer::startRun(const RunPtr &run)
 {
     ++m_running;
-    ++m_ran;
-    m_mostRunning = std::max(m_mostRunning, m_running);
+    ++m_startedRuns;
+    m_maxRunning = std::max(m_maxRunning, m_running);
     if (!run->key.isEmpty()) {
         ++m_executions[run->key.toStdString()];
     }
@@ -165,7 +165,7 @@
     if (m_behaviour.hangs) {
         return;
     }
-    if (m_random.fraction() < m_behaviour.cutShare) {
+    if (m_random.fraction() < m_behaviour.disconnectShare) {
         --m_running;
         run->socket->abort();
         return;
@@ -179,7 +179,7 @@
 void BackendServer::makeNextCall(const RunPtr &run)
 {
     if (run->nextCall >= run->kind->calls.size()) {
-        end(run, internal::ok, run->body.isEmpty() ? QByteArray{R"({"ran":true})"} : run->body);
+        finishRun(run, internal::ok, run->body.isEmpty() ? QByteArray{R"({"ran":true})"} : run->body);
         return;
     }
     const egretlatch::manifest::InnerCall &call = run->kind->calls[run->nextCall];
@@ -207,20 +207,20 @@
 {
     reply->deleteLater();
     const int status = reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
-    if (status == 0 || status >= internal::firstError) {
-        end(run, internal::badGateway, R"({"error":"an inner call failed"})");
+    if (status == 0 || status >= internal::minErrorStatus) {
+        finishRun(run, internal::badGateway, R"({"error":"an inner call failed"})");
         return;
     }
     makeNextCall(run);
 }
 
-void BackendServer::end(const RunPtr &run, const int status, const QByteArray &body)
+void BackendServer::finishRun(const RunPtr &run, const int status, const QByteArray &body)
 {
     --m_running;
     if (!run->socket.isNull() && run->socket->state() == QAbstractSocket::ConnectedState) {
         internal::write(run->responder, status, body);
     }
-    startWaiting();
+    startQueued();
 }
 
 QJsonObject BackendServer::executions() const
@@ -234,13 +234,13 @@
 
 QJsonObject BackendServer::loadReport() const
 {
-    const int running = m_behaviour.lies ? 0 : m_running;
+    const int running = m_behaviour.reportsIdle ? 0 : m_running;
     return {
         {QStringLiteral("running"), running},
-        {QStringLiteral("waiting"), m_behaviour.lies ? 0 : static_cast<int>(m_waiting.size())},
+        {QStringLiteral("waiting"), m_behaviour.reportsIdle ? 0 : static_cast<int>(m_queue.size())},
         {QStringLiteral("slots"), m_options.slots},
-        {QStringLiteral("mostRunning"), m_mostRunning},
-        {QStringLiteral("ran"), static_cast<qint64>(m_ran)},
+        {QStringLiteral("mostRunning"), m_maxRunning},
+        {QStringLiteral("ran"), static_cast<qint64>(m_startedRuns)},
     };
 }
 
--- a/standin/backend_server.hpp
+++ b/standin/backend_server.hpp
@@ -36,7 +36,7 @@
 };
 
 /*! @brief How a backend stand-in misbehaves; set by `POST /control`. */
-struct Behaviour
+struct BackendBehaviour
 {
     /*! @brief Factor on the time of each run. */
     double slowdown{1.0};
@@ -45,13 +45,13 @@
     /*! @brief Share of the requests that are refused with 503 and `not-run`. */
     double rejectShare{};
     /*! @brief Share of the requests whose connection is closed in the middle of the run. */
-    double cutShare{};
+    double disconnectShare{};
     /*! @brief Requests whose body has this text end the process; empty for none. */
     std::string crashOn;
     /*! @brief Never answers. */
     bool hangs{};
     /*! @brief Claims in its load report to be idle. */
-    bool lies{};
+    bool reportsIdle{};
 };
 
 /*! @brief A backend server of one service. */
@@ -91,24 +91,24 @@
 
     void handleControl(const QHttpServerRequest &request, QTcpSocket *socket);
     void handleRun(const QHttpServerRequest &request, QTcpSocket *socket);
-    void startWaiting();
-    void begin(const RunPtr &run);
+    void startQueued();
+    void startRun(const RunPtr &run);
     void makeNextCall(const RunPtr &run);
     void handleInnerAnswer(const RunPtr &run, QNetworkReply *reply);
-    void end(const RunPtr &run, int status, const QByteArray &body);
+    void finishRun(const RunPtr &run, int status, const QByteArray &body);
     [[nodiscard]] QJsonObject executions() const;
     [[nodiscard]] QJsonObject loadReport() const;
 
     BackendOptions m_options;
     egretlatch::manifest::ServiceSpec m_service;
-    Behaviour m_behaviour;
+    BackendBehaviour m_behaviour;
     egretlatch::SeededRandom m_random;
     egretlatch::daemon::HttpClientPool m_pool;
     QTimer m_announceTimer;
-    std::deque<RunPtr> m_waiting;
+    std::deque<RunPtr> m_queue;
     int m_running{};
-    int m_mostRunning{};
-    std::uint64_t m_ran{};
+    int m_maxRunning{};
+    std::uint64_t m_startedRuns{};
     std::map<std::string, int> m_executions;
 };
 
--- a/standin/latency_probe.cpp
+++ b/standin/latency_probe.cpp
@@ -31,7 +31,7 @@
 {
     std::mutex mutex;
     std::vector<double> milliseconds;
-    int bad{};
+    int failures{};
 };
 
 [[nodiscard]] static int openConnection(const std::uint16_t port)
@@ -50,7 +50,7 @@
     return descriptor;
 }
 
-[[nodiscard]] static bool isWhole(const std::string &answer)
+[[nodiscard]] static bool isComplete(const std::string &answer)
 {
     static const std::string lengthName = "Content-Length: ";
     const std::size_t headEnd = answer.find("\r\n\r\n");
@@ -69,7 +69,7 @@
     }
     std::string answer;
     std::vector<char> buffer(bufferSize);
-    while (!isWhole(answer)) {
+    while (!isComplete(answer)) {
         const ssize_t received = recv(descriptor, buffer.data(), buffer.size(), 0);
         if (received <= 0) {
             return false;
@@ -79,7 +79,7 @@
     return answer.find(" 200 ") != std::string::npos;
 }
 
-static void probe(const ProbeOptions &options, const int number, const Clock::time_point start, Samples &samples)
+static void runConnection(const ProbeOptions &options, const int connection, const Clock::time_point start, Samples &samples)
 {
     std::string request = fmt::format("GET {} HTTP/1.1\r\nHost: localhost\r\n", options.path);
     if (!options.kind.empty()) {
@@ -89,23 +89,23 @@
     const int descriptor = openConnection(options.port);
     const int count = options.rate * options.seconds / options.connections;
     std::vector<double> milliseconds;
-    int bad = 0;
+    int failures = 0;
     for (int index = 0; index < count; ++index) {
-        const double second = static_cast<double>(index * options.connections + number) / options.rate;
-        const auto due = start + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>{second});
+        const double offsetSeconds = static_cast<double>(index * options.connections + connection) / options.rate;
+        const auto due = start + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>{offsetSeconds});
         std::this_thread::sleep_until(due);
-        bad += exchange(descriptor, request) ? 0 : 1;
+        failures += exchange(descriptor, request) ? 0 : 1;
         milliseconds.push_back(std::chrono::duration<double, std::milli>{Clock::now() - due}.count());
     }
     close(descriptor);
     const std::lock_guard lock{samples.mutex};
     samples.milliseconds.insert(samples.milliseconds.end(), milliseconds.begin(), milliseconds.end());
-    samples.bad += bad;
+    samples.failures += failures;
 }
 
-[[nodiscard]] static double quantile(const std::vector<double> &sorted, const double share)
+[[nodiscard]] static double quantile(const std::vector<double> &sorted, const double fraction)
 {
-    return sorted.empty() ? 0.0 : sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
+    return sorted.empty() ? 0.0 : sorted[static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1))];
 }
 
 } // namespace internal
@@ -116,9 +116,9 @@
     const auto start = internal::Clock::now() + internal::startDelay;
     std::vector<std::thread> threads;
     threads.reserve(static_cast<std::size_t>(options.connections));
-    for (int number = 0; number < options.connections; ++number) {
-        threads.emplace_back([&options, number, start, &samples] {
-            internal::probe(options, number, start, samples);
+    for (int connection = 0; connection < options.connections; ++connection) {
+        threads.emplace_back([&options, connection, start, &samples] {
+            internal::runConnection(options, connection, start, samples);
         });
     }
     for (std::thread &thread : threads) {
@@ -128,11 +128,11 @@
     fmt::print(R"({{"sent": {}, "bad": {}, "p50Ms": {:.3f}, "p99Ms": {:.3f}, "p999Ms": {:.3f}}})"
                "\n",
                samples.milliseconds.size(),
-               samples.bad,
+               samples.failures,
                internal::quantile(samples.milliseconds, 0.5),
                internal::quantile(samples.milliseconds, 0.99),
                internal::quantile(samples.milliseconds, 0.999));
-    return samples.bad == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
+    return samples.failures == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
 } // namespace standin
--- a/standin/load/attempt_outcome.cpp
+++ b/standin/load/attempt_outcome.cpp
@@ -15,17 +15,17 @@
 namespace internal
 {
 
-constexpr int firstError = 400;
+constexpr int minErrorStatus = 400;
 constexpr std::array<std::string_view, 5> names{"completed", "refused", "may-have-run", "failed", "cancelled"};
 
-[[nodiscard]] static std::string reasonOf(const HttpReply &reply)
+[[nodiscard]] static std::string refusalReason(const HttpReply &reply)
 {
     const QJsonObject problem = QJsonDocument::fromJson(QByteArray::fromStdString(reply.body)).object();
     const std::string reason = problem[u"reason"].toString().toStdString();
     return reason.empty() ? fmt::format("status-{}", reply.status) : reason;
 }
 
-[[nodiscard]] static AttemptOutcome judgeAnswer(const HttpReply &reply, const std::string &body)
+[[nodiscard]] static AttemptOutcome classifyAnswer(const HttpReply &reply, const std::string &body)
 {
     const std::optional<egretlatch::Verdict> verdict = egretlatch::verdictFromString(reply.verdict);
     if (!verdict.has_value()) {
@@ -33,13 +33,13 @@
     }
     switch (*verdict) {
     case egretlatch::Verdict::notRun:
-        return {.outcomeClass = OutcomeClass::refused, .cause = reasonOf(reply)};
+        return {.outcomeClass = OutcomeClass::refused, .cause = refusalReason(reply)};
     case egretlatch::Verdict::mayHaveRun:
-        return {.outcomeClass = OutcomeClass::mayHaveRun, .cause = reasonOf(reply)};
+        return {.outcomeClass = OutcomeClass::mayHaveRun, .cause = refusalReason(reply)};
     case egretlatch::Verdict::completed:
         break;
     }
-    if (reply.status >= firstError) {
+    if (reply.status >= minErrorStatus) {
         return {.outcomeClass = OutcomeClass::failed, .cause = fmt::format("status-{}", reply.status)};
     }
     if (reply.body != body) {
@@ -55,24 +55,24 @@
     return internal::names.at(static_cast<std::size_t>(outcomeClass));
 }
 
-AttemptOutcome judge(const HttpReply &reply, const std::string &body)
+AttemptOutcome classifyReply(const HttpReply &reply, const std::string &body)
 {
-    switch (reply.end) {
-    case HttpEnd::neverConnected:
+    switch (reply.transport) {
+    case TransportResult::connectFailed:
         return {.outcomeClass = OutcomeClass::failed, .cause = "never-connected"};
-    case HttpEnd::lost:
+    case TransportResult::connectionLost:
         return {.outcomeClass = OutcomeClass::failed, .cause = "connection-lost"};
-    case HttpEnd::timedOut:
+    case TransportResult::timedOut:
         return {.outcomeClass = OutcomeClass::failed, .cause = "no-answer"};
-    case HttpEnd::answered:
+    case TransportResult::answered:
         break;
     }
-    return internal::judgeAnswer(reply, body);
+    return internal::classifyAnswer(reply, body);
 }
 
-std::string keyIn(const HttpReply &reply)
+std::string parseMintedKey(const HttpReply &reply)
 {
-    if (reply.end != HttpEnd::answered || reply.status >= internal::firstError) {
+    if (reply.transport != TransportResult::answered || reply.status >= internal::minErrorStatus) {
         return {};
     }
     return QJsonDocument::fromJson(QByteArray::fromStdString(reply.body)).object()[u"key"].toString().toStdString();
--- a/standin/load/attempt_outcome.hpp
+++ b/standin/load/attempt_outcome.hpp
@@ -46,14 +46,14 @@
  * @param body Body that was sent; an answer without it belongs to another request.
  * @return The outcome; `wrong-answer` for an answer that belongs to another request.
  */
-[[nodiscard]] AttemptOutcome judge(const HttpReply &reply, const std::string &body);
+[[nodiscard]] AttemptOutcome classifyReply(const HttpReply &reply, const std::string &body);
 
 /**
  * @brief Reads the key that a daemon minted.
  * @param reply Answer to `POST /keys/{service}/{kind}`.
  * @return The key, or an empty text if there is none in the answer.
  */
-[[nodiscard]] std::string keyIn(const HttpReply &reply);
+[[nodiscard]] std::string parseMintedKey(const HttpReply &reply);
 
 } // namespace standin::load
 
--- a/standin/load/connection_pool.cpp
+++ b/standin/load/connection_pool.cpp
@@ -20,16 +20,16 @@
 
 void ConnectionPool::exchange(HttpRequest request, const egretlatch::Duration timeout, HttpConnection::Handler handler)
 {
-    const std::shared_ptr<HttpConnection> connection = take();
+    const std::shared_ptr<HttpConnection> connection = acquire();
     connection->exchange(std::move(request), timeout, [this, connection, handler = std::move(handler)](HttpReply reply) {
-        if (reply.keepsConnection) {
+        if (reply.isKeepAlive) {
             m_idle.push_back(connection);
         }
         handler(std::move(reply));
     });
 }
 
-std::shared_ptr<HttpConnection> ConnectionPool::take()
+std::shared_ptr<HttpConnection> ConnectionPool::acquire()
 {
     while (!m_idle.empty()) {
         std::shared_ptr<HttpConnection> connection = std::move(m_idle.back());
--- a/standin/load/connection_pool.hpp
+++ b/standin/load/connection_pool.hpp
@@ -35,7 +35,7 @@
     }
 
 private:
-    [[nodiscard]] std::shared_ptr<HttpConnection> take();
+    [[nodiscard]] std::shared_ptr<HttpConnection> acquire();
 
     boost::asio::io_context &m_context;
     boost::asio::ip::tcp::endpoint m_endpoint;
--- a/standin/load/fault_injector.cpp
+++ b/standin/load/fault_injector.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::chrono::seconds controlTimeout{2};
 constexpr unsigned controlHttpVersion = 11;
-constexpr int firstControlError = 300;
+constexpr int minControlErrorStatus = 300;
 
 } // namespace internal
 
@@ -62,7 +62,7 @@
     request.body() = behaviour.toStdString();
     request.prepare_payload();
     pool.exchange(std::move(request), internal::controlTimeout, [&url](const HttpReply &reply) {
-        if (reply.end != HttpEnd::answered || reply.status >= internal::firstControlError) {
+        if (reply.transport != TransportResult::answered || reply.status >= internal::minControlErrorStatus) {
             fmt::print(stderr, "load: {} did not take its behaviour: {} {}\n", url, reply.status, reply.body);
         }
     });
--- a/standin/load/http_connection.cpp
+++ b/standin/load/http_connection.cpp
@@ -13,13 +13,13 @@
 namespace internal
 {
 
-[[nodiscard]] static std::string field(const boost::beast::http::response<boost::beast::http::string_body> &response, const char *const name)
+[[nodiscard]] static std::string headerValue(const boost::beast::http::response<boost::beast::http::string_body> &response, const char *const name)
 {
     const boost::beast::string_view value = response[name];
     return {value.data(), value.size()};
 }
 
-[[nodiscard]] static std::chrono::seconds secondsOf(const std::string &text)
+[[nodiscard]] static std::chrono::seconds parseSeconds(const std::string &text)
 {
     int seconds = 0;
     std::from_chars(text.data(), text.data() + text.size(), seconds);
@@ -60,7 +60,7 @@
 {
     m_stream.async_connect(m_endpoint, [self = shared_from_this()](const boost::beast::error_code error) {
         if (error) {
-            self->finish(error, HttpEnd::neverConnected);
+            self->finish(error, TransportResult::connectFailed);
             return;
         }
         self->m_isOpen = true;
@@ -74,7 +74,7 @@
 {
     boost::beast::http::async_write(m_stream, m_request, [self = shared_from_this()](const boost::beast::error_code error, std::size_t) {
         if (error) {
-            self->finish(error, HttpEnd::lost);
+            self->finish(error, TransportResult::connectionLost);
             return;
         }
         self->read();
@@ -84,25 +84,25 @@
 void HttpConnection::read()
 {
     boost::beast::http::async_read(m_stream, m_buffer, *m_response, [self = shared_from_this()](const boost::beast::error_code error, std::size_t) {
-        self->finish(error, error ? HttpEnd::lost : HttpEnd::answered);
+        self->finish(error, error ? TransportResult::connectionLost : TransportResult::answered);
     });
 }
 
-void HttpConnection::finish(const boost::beast::error_code error, const HttpEnd end)
+void HttpConnection::finish(const boost::beast::error_code error, const TransportResult result)
 {
     HttpReply reply;
-    reply.end = error == boost::beast::error::timeout ? HttpEnd::timedOut : end;
-    if (reply.end == HttpEnd::answered) {
+    reply.transport = error == boost::beast::error::timeout ? TransportResult::timedOut : result;
+    if (reply.transport == TransportResult::answered) {
         auto response = m_response->release();
         reply.status = static_cast<int>(response.result_int());
-        reply.verdict = internal::field(response, egretlatch::daemon::verdictHeader);
-        reply.nextKey = internal::field(response, egretlatch::daemon::nextKeyHeader);
-        reply.retryAfter = internal::secondsOf(internal::field(response, "Retry-After"));
-        reply.keepsConnection = response.keep_alive();
+        reply.verdict = internal::headerValue(response, egretlatch::daemon::verdictHeader);
+        reply.nextKey = internal::headerValue(response, egretlatch::daemon::nextKeyHeader);
+        reply.retryAfter = internal::parseSeconds(internal::headerValue(response, "Retry-After"));
+        reply.isKeepAlive = response.keep_alive();
         reply.body = std::move(response.body());
     }
     m_stream.expires_never();
-    if (!reply.keepsConnection) {
+    if (!reply.isKeepAlive) {
         m_stream.close();
     }
     // The handler may start the next exchange, so it is taken out first.
--- a/standin/load/http_connection.hpp
+++ b/standin/load/http_connection.hpp
@@ -54,7 +54,7 @@
     void connect();
     void write();
     void read();
-    void finish(boost::beast::error_code error, HttpEnd end);
+    void finish(boost::beast::error_code error, TransportResult result);
 
     boost::beast::tcp_stream m_stream;
     boost::asio::ip::tcp::endpoint m_endpoint;
--- a/standin/load/http_reply.hpp
+++ b/standin/load/http_reply.hpp
@@ -8,19 +8,19 @@
 {
 
 /*! @brief How an HTTP exchange ended. */
-enum class HttpEnd {
+enum class TransportResult {
     answered,
     /*! @brief No connection could be opened; nothing was sent. */
-    neverConnected,
+    connectFailed,
     /*! @brief The connection broke before the whole answer. */
-    lost,
+    connectionLost,
     timedOut,
 };
 
 /*! @brief What came back on an exchange. */
 struct HttpReply
 {
-    HttpEnd end{HttpEnd::lost};
+    TransportResult transport{TransportResult::connectionLost};
     int status{};
     /*! @brief Value of `Egretlatch-Verdict`. */
     std::string verdict;
@@ -29,7 +29,7 @@
     /*! @brief Value of `Retry-After`; zero without one. */
     std::chrono::seconds retryAfter{};
     std::string body;
-    bool keepsConnection{};
+    bool isKeepAlive{};
 
     friend bool operator==(const HttpReply &, const HttpReply &) = default;
 };
--- a/standin/load/latency_histogram.cpp
+++ b/standin/load/latency_histogram.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint64_t subBuckets = 32;
 constexpr int subBucketBits = 5;
 
-[[nodiscard]] static std::size_t bucketOf(const std::uint64_t microseconds)
+[[nodiscard]] static std::size_t bucketIndex(const std::uint64_t microseconds)
 {
     if (microseconds < subBuckets) {
         return microseconds;
@@ -22,7 +22,7 @@
     return (static_cast<std::uint64_t>(shift) + 1) * subBuckets + ((microseconds >> shift) - subBuckets);
 }
 
-[[nodiscard]] static std::uint64_t upperEnd(const std::size_t bucket)
+[[nodiscard]] static std::uint64_t bucketUpperBound(const std::size_t bucket)
 {
     if (bucket < subBuckets) {
         return bucket + 1;
@@ -33,17 +33,17 @@
 
 } // namespace internal
 
-void LatencyHistogram::add(const egretlatch::Duration span)
+void LatencyHistogram::add(const egretlatch::Duration duration)
 {
-    const egretlatch::Duration counted = std::max(span, egretlatch::Duration::zero());
-    const auto microseconds = std::chrono::duration_cast<std::chrono::microseconds>(counted).count();
-    const std::size_t bucket = internal::bucketOf(static_cast<std::uint64_t>(microseconds));
+    const egretlatch::Duration clamped = std::max(duration, egretlatch::Duration::zero());
+    const auto microseconds = std::chrono::duration_cast<std::chrono::microseconds>(clamped).count();
+    const std::size_t bucket = internal::bucketIndex(static_cast<std::uint64_t>(microseconds));
     if (bucket >= m_buckets.size()) {
         m_buckets.resize(bucket + 1);
     }
     ++m_buckets[bucket];
     ++m_count;
-    m_longest = std::max(m_longest, counted);
+    m_max = std::max(m_max, clamped);
 }
 
 void LatencyHistogram::add(const LatencyHistogram &other)
@@ -53,18 +53,18 @@
         m_buckets[bucket] += other.m_buckets[bucket];
     }
     m_count += other.m_count;
-    m_longest = std::max(m_longest, other.m_longest);
+    m_max = std::max(m_max, other.m_max);
 }
 
 egretlatch::Duration LatencyHistogram::quantile(const double fraction) const
 {
-    const auto wanted = static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(m_count)));
-    std::uint64_t seen = 0;
+    const auto rank = static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(m_count)));
+    std::uint64_t cumulative = 0;
     for (std::size_t bucket = 0; bucket < m_buckets.size(); ++bucket) {
-        seen += m_buckets[bucket];
-        if (seen > 0 && seen >= wanted) {
-            const egretlatch::Duration end = std::chrono::microseconds{internal::upperEnd(bucket)};
-            return std::min(end, m_longest);
+        cumulative += m_buckets[bucket];
+        if (cumulative > 0 && cumulative >= rank) {
+            const egretlatch::Duration end = std::chrono::microseconds{internal::bucketUpperBound(bucket)};
+            return std::min(end, m_max);
         }
     }
     return {};
--- a/standin/load/latency_histogram.hpp
+++ b/standin/load/latency_histogram.hpp
@@ -21,7 +21,7 @@
      * @brief Adds a span.
      * @param span The span; a negative one counts as zero.
      */
-    void add(egretlatch::Duration span);
+    void add(egretlatch::Duration duration);
 
     /**
      * @brief Adds all spans of another histogram.
@@ -41,15 +41,15 @@
         return m_count;
     }
 
-    [[nodiscard]] egretlatch::Duration longest() const noexcept
+    [[nodiscard]] egretlatch::Duration max() const noexcept
     {
-        return m_longest;
+        return m_max;
     }
 
 private:
     std::vector<std::uint64_t> m_buckets;
     std::uint64_t m_count{};
-    egretlatch::Duration m_longest{};
+    egretlatch::Duration m_max{};
 };
 
 } // namespace standin::load
--- a/standin/load/load_command.cpp
+++ b/standin/load/load_command.cpp
@@ -23,7 +23,7 @@
 namespace internal
 {
 
-constexpr std::chrono::milliseconds leadTime{200};
+constexpr std::chrono::milliseconds startDelay{200};
 constexpr std::uint64_t seedStride = 1'000'003;
 
 [[nodiscard]] static std::optional<Scenario> readScenario(const LoadOptions &options)
@@ -45,9 +45,9 @@
     return *scenario;
 }
 
-[[nodiscard]] static std::optional<std::vector<RunKind>> resolveKinds(const Scenario &scenario, const egretlatch::manifest::Manifest &manifest)
+[[nodiscard]] static std::optional<std::vector<RequestKind>> resolveKinds(const Scenario &scenario, const egretlatch::manifest::Manifest &manifest)
 {
-    std::vector<RunKind> kinds;
+    std::vector<RequestKind> kinds;
     for (const KindShare &share : scenario.kinds) {
         const egretlatch::manifest::KindSpec *const spec = manifest.findKind(share.service, share.kind);
         if (spec == nullptr) {
@@ -97,7 +97,7 @@
 {
     const egretlatch::SteadyTime now = std::chrono::steady_clock::now();
     if (options.startAtMs == 0) {
-        return now + leadTime;
+        return now + startDelay;
     }
     const egretlatch::WallTime startAt{std::chrono::milliseconds{options.startAtMs}};
     return now + std::chrono::duration_cast<egretlatch::Duration>(startAt - std::chrono::system_clock::now());
@@ -124,7 +124,7 @@
     if (!options.historyPath.empty()) {
         QByteArray lines;
         for (const std::unique_ptr<LoadWorker> &worker : workers) {
-            lines += toLines(run.kinds, worker->history());
+            lines += toHistoryLines(run.kinds, worker->history());
         }
         isWritten = writeFile(options.historyPath, lines) && isWritten;
     }
@@ -146,7 +146,7 @@
     if (manifest == nullptr || mesh.entries.empty()) {
         return EXIT_FAILURE;
     }
-    const std::optional<std::vector<RunKind>> kinds = internal::resolveKinds(*scenario, *manifest);
+    const std::optional<std::vector<RequestKind>> kinds = internal::resolveKinds(*scenario, *manifest);
     if (!kinds.has_value()) {
         return EXIT_FAILURE;
     }
@@ -161,9 +161,9 @@
         .keepsHistory = !options.historyPath.empty(),
     };
     std::vector<std::unique_ptr<LoadWorker>> workers;
-    for (int number = 0; number < options.workers; ++number) {
-        const std::uint64_t seed = scenario->seed * internal::seedStride + static_cast<std::uint64_t>(number);
-        workers.push_back(std::make_unique<LoadWorker>(plan, parts[static_cast<std::size_t>(number)], seed, number));
+    for (int workerIndex = 0; workerIndex < options.workers; ++workerIndex) {
+        const std::uint64_t seed = scenario->seed * internal::seedStride + static_cast<std::uint64_t>(workerIndex);
+        workers.push_back(std::make_unique<LoadWorker>(plan, parts[static_cast<std::size_t>(workerIndex)], seed, workerIndex));
     }
     FaultInjector injector{mesh, scenario->faults, plan.start};
     const egretlatch::WallTime startedAt =
--- a/standin/load/load_result.cpp
+++ b/standin/load/load_result.cpp
@@ -16,7 +16,7 @@
         causesBySecond[cause].add(counts);
     }
     sendLag.add(other.sendLag);
-    leftOut += other.leftOut;
+    skippedRequests += other.skippedRequests;
 }
 
 } // namespace standin::load
--- a/standin/load/load_result.hpp
+++ b/standin/load/load_result.hpp
@@ -22,7 +22,7 @@
     /*! @brief How late the tool sent, against the intended times. */
     LatencyHistogram sendLag;
     /*! @brief Requests left out because too many were open at a time. */
-    std::uint64_t leftOut{};
+    std::uint64_t skippedRequests{};
 
     /**
      * @brief Adds what another worker saw.
--- a/standin/load/load_worker.cpp
+++ b/standin/load/load_worker.cpp
@@ -13,19 +13,19 @@
 {
 
 /*! @brief Time beyond the timeout in which a caller still hears that its time has passed. */
-constexpr std::chrono::milliseconds grace{250};
+constexpr std::chrono::milliseconds timeoutGrace{250};
 /*! @brief Open exchanges of one worker; more would run out of ports before they measured anything. */
-constexpr int mostOpen = 6'000;
-constexpr double jitterLow = 0.8;
-constexpr double jitterSpan = 0.4;
+constexpr int maxOpenRequests = 6'000;
+constexpr double minJitterFactor = 0.8;
+constexpr double jitterRange = 0.4;
 constexpr unsigned httpVersion = 11;
 
 } // namespace internal
 
-LoadWorker::LoadWorker(const RunPlan &plan, Schedule schedule, const std::uint64_t seed, const int number)
+LoadWorker::LoadWorker(const RunPlan &plan, Schedule schedule, const std::uint64_t seed, const int workerIndex)
     : m_plan{plan}
     , m_schedule{std::move(schedule)}
-    , m_number{number}
+    , m_workerIndex{workerIndex}
     , m_random{seed}
     , m_mint{m_random}
     , m_context{1}
@@ -39,79 +39,79 @@
 
 void LoadWorker::run()
 {
-    waitForNext();
+    scheduleNext();
     m_context.run();
 }
 
-void LoadWorker::waitForNext()
+void LoadWorker::scheduleNext()
 {
-    if (m_next >= m_schedule.size()) {
+    if (m_nextRequest >= m_schedule.size()) {
         return;
     }
-    m_timer.expires_at(m_plan.start + m_schedule[m_next].at);
+    m_timer.expires_at(m_plan.start + m_schedule[m_nextRequest].at);
     m_timer.async_wait([this](const boost::system::error_code error) {
         if (!error) {
-            sendDue();
+            sendDueRequests();
         }
     });
 }
 
-void LoadWorker::sendDue()
+void LoadWorker::sendDueRequests()
 {
     const egretlatch::SteadyTime now = std::chrono::steady_clock::now();
-    while (m_next < m_schedule.size() && m_plan.start + m_schedule[m_next].at <= now) {
-        begin(m_schedule[m_next]);
-        ++m_next;
+    while (m_nextRequest < m_schedule.size() && m_plan.start + m_schedule[m_nextRequest].at <= now) {
+        startRequest(m_schedule[m_nextRequest]);
+        ++m_nextRequest;
     }
-    waitForNext();
+    scheduleNext();
 }
 
-void LoadWorker::begin(const PlannedRequest &planned)
+void LoadWorker::startRequest(const PlannedRequest &planned)
 {
-    if (m_open >= internal::mostOpen) {
-        ++m_result.leftOut;
+    if (m_openRequests >= internal::maxOpenRequests) {
+        ++m_result.skippedRequests;
         return;
     }
-    ++m_open;
-    const RunKind &kind = m_plan.kinds[planned.kind];
+    ++m_openRequests;
+    const RequestKind &kind = m_plan.kinds[planned.kind];
     const auto request = std::make_shared<Request>();
     request->kind = planned.kind;
-    request->isCancelled = planned.isCancelled;
-    request->name = fmt::format("{}-{}", m_number, ++m_lastRequest);
+    request->isCancelledByCaller = planned.isCancelledByCaller;
+    request->name = fmt::format("{}-{}", m_workerIndex, ++m_lastRequestNumber);
     if (!kind.idempotent && m_plan.callers.keys == KeySource::caller) {
         request->key = m_mint.mint(std::chrono::system_clock::now()).toString();
     }
-    request->body = bodyOf(planned, request->name);
+    request->body = makeBody(planned, request->name);
     request->intended = m_plan.start + planned.at;
     request->resendAfter = m_plan.callers.resendAfter;
     KindResult &result = m_result.kinds[planned.kind];
     ++result.sent;
     result.sentBySecond.add(secondOf(request->intended));
     m_result.sendLag.add(std::chrono::steady_clock::now() - request->intended);
-    attempt(request);
+    startAttempt(request);
 }
 
-void LoadWorker::attempt(const RequestPtr &request)
+void LoadWorker::startAttempt(const RequestPtr &request)
 {
     ++request->attempts;
     ++m_result.kinds[request->kind].attempts;
     m_result.attemptsBySecond.add(secondOf(std::chrono::steady_clock::now()));
     if (needsKey(*request)) {
-        askForKey(request);
+        requestKey(request);
         return;
     }
     sendCall(request);
 }
 
-void LoadWorker::askForKey(const RequestPtr &request)
+void LoadWorker::requestKey(const RequestPtr &request)
 {
     const egretlatch::SteadyTime now = std::chrono::steady_clock::now();
-    ConnectionPool &pool = anyEntry();
+    ConnectionPool &pool = randomEntry();
     HttpRequest http{boost::beast::http::verb::post, fmt::format("/keys/{}", m_plan.kinds[request->kind].name), internal::httpVersion};
     http.set(boost::beast::http::field::host, pool.authority());
     http.prepare_payload();
     pool.exchange(std::move(http), m_plan.kinds[request->kind].timeout, [this, request, now](const HttpReply &reply) {
-        request->key = keyIn(reply);
+        request->key = parseMintedKey(reply);
         if (!request->key.empty()) {
             sendCall(request);
             return;
@@ -124,8 +124,9 @@
 void LoadWorker::sendCall(const RequestPtr &request)
 {
     const egretlatch::SteadyTime now = std::chrono::steady_clock::now();
-    ConnectionPool &pool = anyEntry();
-    const std::chrono::milliseconds timeout = request->isCancelled ? m_plan.callers.cancelAfter : m_plan.kinds[request->kind].timeout + internal::grace;
+    ConnectionPool &pool = randomEntry();
+    const std::chrono::milliseconds timeout =
+        request->isCancelledByCaller ? m_plan.callers.cancelAfter : m_plan.kinds[request->kind].timeout + internal::timeoutGrace;
     pool.exchange(makeRequest(*request, pool.authority()), timeout, [this, request, now](const HttpReply &reply) {
         handleReply(request, now, reply);
     });
@@ -133,8 +134,8 @@
 
 void LoadWorker::handleReply(const RequestPtr &request, const egretlatch::SteadyTime sentAt, const HttpReply &reply)
 {
-    AttemptOutcome outcome = judge(reply, request->body);
-    if (request->isCancelled && reply.end == HttpEnd::timedOut) {
+    AttemptOutcome outcome = classifyReply(reply, request->body);
+    if (request->isCancelledByCaller && reply.transport == TransportResult::timedOut) {
         outcome = {.outcomeClass = OutcomeClass::cancelled, .cause = "cancelled-by-caller"};
     }
     handleOutcome(request, sentAt, outcome, reply);
@@ -142,19 +143,19 @@
 
 void LoadWorker::handleOutcome(const RequestPtr &request, const egretlatch::SteadyTime sentAt, const AttemptOutcome &outcome, const HttpReply &reply)
 {
-    record(*request, sentAt, outcome, reply.status);
+    recordAttempt(*request, sentAt, outcome, reply.status);
     const bool isFinal = outcome.outcomeClass == OutcomeClass::completed || outcome.outcomeClass == OutcomeClass::cancelled;
     if (!isFinal && request->attempts <= m_plan.callers.resends) {
         if (!reply.nextKey.empty()) {
             request->key = reply.nextKey;
         }
-        resendLater(request, reply.retryAfter);
+        scheduleResend(request, reply.retryAfter);
         return;
     }
-    end(*request, outcome);
+    finishRequest(*request, outcome);
 }
 
-void LoadWorker::record(const Request &request, const egretlatch::SteadyTime sentAt, const AttemptOutcome &outcome, const int status)
+void LoadWorker::recordAttempt(const Request &request, const egretlatch::SteadyTime sentAt, const AttemptOutcome &outcome, const int status)
 {
     const egretlatch::SteadyTime now = std::chrono::steady_clock::now();
     if (outcome.outcomeClass != OutcomeClass::completed) {
@@ -173,9 +174,9 @@
     }
 }
 
-void LoadWorker::resendLater(const RequestPtr &request, const std::chrono::seconds retryAfter)
+void LoadWorker::scheduleResend(const RequestPtr &request, const std::chrono::seconds retryAfter)
 {
-    std::chrono::duration<double, std::milli> wait = request->resendAfter * (internal::jitterLow + internal::jitterSpan * m_random.fraction());
+    std::chrono::duration<double, std::milli> wait = request->resendAfter * (internal::minJitterFactor + internal::jitterRange * m_random.fraction());
     request->resendAfter *= m_plan.callers.backoff;
     if (m_plan.callers.honoursRetryAfter) {
         wait = std::max<std::chrono::duration<double, std::milli>>(wait, retryAfter);
@@ -183,14 +184,14 @@
     const auto timer = std::make_shared<boost::asio::steady_timer>(m_context, std::chrono::duration_cast<egretlatch::Duration>(wait));
     timer->async_wait([this, request, timer](const boost::system::error_code error) {
         if (!error) {
-            attempt(request);
+            startAttempt(request);
         }
     });
 }
 
-void LoadWorker::end(const Request &request, const AttemptOutcome &outcome)
+void LoadWorker::finishRequest(const Request &request, const AttemptOutcome &outcome)
 {
-    --m_open;
+    --m_openRequests;
     const egretlatch::SteadyTime now = std::chrono::steady_clock::now();
     KindResult &result = m_result.kinds[request.kind];
     ++result.requests[outcome.outcomeClass][outcome.cause];
@@ -205,14 +206,14 @@
     return request.key.empty() && !m_plan.kinds[request.kind].idempotent;
 }
 
-ConnectionPool &LoadWorker::anyEntry()
+ConnectionPool &LoadWorker::randomEntry()
 {
     return *m_pools[m_random.below(m_pools.size())];
 }
 
 HttpRequest LoadWorker::makeRequest(const Request &request, const std::string &authority) const
 {
-    const RunKind &kind = m_plan.kinds[request.kind];
+    const RequestKind &kind = m_plan.kinds[request.kind];
     HttpRequest http{boost::beast::http::verb::post, fmt::format("/call/{}/", kind.name), internal::httpVersion};
     http.set(boost::beast::http::field::host, authority);
     http.set(egretlatch::daemon::timeoutHeader, fmt::format("{}", kind.timeout.count()));
@@ -224,7 +225,7 @@
     return http;
 }
 
-std::string LoadWorker::bodyOf(const PlannedRequest &planned, const std::string &name) const
+std::string LoadWorker::makeBody(const PlannedRequest &planned, const std::string &name) const
 {
     if (!planned.body.empty()) {
         return planned.body;
--- a/standin/load/load_worker.hpp
+++ b/standin/load/load_worker.hpp
@@ -16,7 +16,7 @@
 #include <load/history_record.hpp>
 #include <load/load_result.hpp>
 #include <load/planned_request.hpp>
-#include <load/run_kind.hpp>
+#include <load/request_kind.hpp>
 #include <load/scenario.hpp>
 
 namespace standin::load
@@ -25,7 +25,7 @@
 /*! @brief What all workers of a run share; must outlive them. */
 struct RunPlan
 {
-    std::vector<RunKind> kinds;
+    std::vector<RequestKind> kinds;
     CallerBehaviour callers;
     std::vector<std::string> entries;
     egretlatch::SteadyTime start;
@@ -43,7 +43,7 @@
      * @param seed Seed of its choices of entries, keys and waits.
      * @param number Makes the bodies of this worker unlike those of the others.
      */
-    LoadWorker(const RunPlan &plan, Schedule schedule, std::uint64_t seed, int number);
+    LoadWorker(const RunPlan &plan, Schedule schedule, std::uint64_t seed, int workerIndex);
 
     /*! @brief Sends all requests at their times and returns when the last has ended. */
     void run();
@@ -62,7 +62,7 @@
     struct Request
     {
         std::size_t kind{};
-        bool isCancelled{};
+        bool isCancelledByCaller{};
         std::string name;
         std::string key;
         std::string body;
@@ -73,29 +73,29 @@
 
     using RequestPtr = std::shared_ptr<Request>;
 
-    void waitForNext();
-    void sendDue();
-    void begin(const PlannedRequest &planned);
-    void attempt(const RequestPtr &request);
-    void askForKey(const RequestPtr &request);
+    void scheduleNext();
+    void sendDueRequests();
+    void startRequest(const PlannedRequest &planned);
+    void startAttempt(const RequestPtr &request);
+    void requestKey(const RequestPtr &request);
     void sendCall(const RequestPtr &request);
     void handleReply(const RequestPtr &request, egretlatch::SteadyTime sentAt, const HttpReply &reply);
     void handleOutcome(const RequestPtr &request, egretlatch::SteadyTime sentAt, const AttemptOutcome &outcome, const HttpReply &reply);
-    void record(const Request &request, egretlatch::SteadyTime sentAt, const AttemptOutcome &outcome, int status);
-    void resendLater(const RequestPtr &request, std::chrono::seconds retryAfter);
-    void end(const Request &request, const AttemptOutcome &outcome);
+    void recordAttempt(const Request &request, egretlatch::SteadyTime sentAt, const AttemptOutcome &outcome, int status);
+    void scheduleResend(const RequestPtr &request, std::chrono::seconds retryAfter);
+    void finishRequest(const Request &request, const AttemptOutcome &outcome);
     [[nodiscard]] bool needsKey(const Request &request) const;
-    [[nodiscard]] ConnectionPool &anyEntry();
+    [[nodiscard]] ConnectionPool &randomEntry();
     [[nodiscard]] HttpRequest makeRequest(const Request &request, const std::string &authority) const;
-    [[nodiscard]] std::string bodyOf(const PlannedRequest &planned, const std::string &name) const;
+    [[nodiscard]] std::string makeBody(const PlannedRequest &planned, const std::string &name) const;
     [[nodiscard]] std::int64_t secondOf(egretlatch::SteadyTime time) const;
 
     const RunPlan &m_plan;
     Schedule m_schedule;
-    std::size_t m_next{};
-    int m_number;
-    std::uint64_t m_lastRequest{};
-    int m_open{};
+    std::size_t m_nextRequest{};
+    int m_workerIndex;
+    std::uint64_t m_lastRequestNumber{};
+    int m_openRequests{};
     egretlatch::SeededRandom m_random;
     egretlatch::UuidMint m_mint;
     boost::asio::io_context m_context;
--- a/standin/load/parse_scenario.cpp
+++ b/standin/load/parse_scenario.cpp
@@ -30,8 +30,8 @@
 constexpr Range<std::int64_t> serverRange{.least = -1, .most = 10'000};
 constexpr Range<std::int64_t> seedRange{.least = 0, .most = 1'000'000'000};
 constexpr int defaultBodyBytes = 128;
-constexpr int defaultDelay = 50;
-constexpr int defaultCancel = 20;
+constexpr int defaultResendDelayMs = 50;
+constexpr int defaultCancelDelayMs = 20;
 
 [[nodiscard]] static KindShare readKind(const QJsonValue &value, const std::string &pointer, Problems &problems)
 {
@@ -60,12 +60,12 @@
     JsonObjectReader reader{value, pointer, problems};
     CallerBehaviour callers;
     callers.resends = static_cast<int>(reader.integer("resends", resendsRange, 0));
-    callers.resendAfter = reader.milliseconds("resendAfterMs", timeRange, defaultDelay);
+    callers.resendAfter = reader.milliseconds("resendAfterMs", timeRange, defaultResendDelayMs);
     callers.backoff = reader.number("backoff", backoffRange, 1.0);
     callers.honoursRetryAfter = reader.flag("honoursRetryAfter", false);
     callers.timeout = reader.milliseconds("timeoutMs", timeRange, 0);
     callers.cancelShare = reader.number("cancelShare", fractionRange, 0.0);
-    callers.cancelAfter = reader.milliseconds("cancelAfterMs", timeRange, defaultCancel);
+    callers.cancelAfter = reader.milliseconds("cancelAfterMs", timeRange, defaultCancelDelayMs);
     callers.bodyBytes = static_cast<int>(reader.integer("bodyBytes", bodyRange, defaultBodyBytes));
     callers.keys = reader.word("keys", {"daemon", "caller"}, "daemon") == "daemon" ? KeySource::daemon : KeySource::caller;
     reader.finish();
--- a/standin/load/planned_request.hpp
+++ b/standin/load/planned_request.hpp
@@ -17,7 +17,7 @@
     egretlatch::Duration at{};
     /*! @brief Index into the kinds of the run. */
     std::size_t kind{};
-    bool isCancelled{};
+    bool isCancelledByCaller{};
     /*! @brief Body to send; empty for one made from the request's number. */
     std::string body;
 
--- a/standin/load/recovery.cpp
+++ b/standin/load/recovery.cpp
@@ -23,8 +23,8 @@
     }
     const auto first = goodput.begin() + internal::warmUpSeconds;
     const auto last = goodput.begin() + overload.fromSecond;
-    recovery.levelBefore = std::accumulate(first, last, 0.0) / static_cast<double>(last - first);
-    const double threshold = recovery.levelBefore * internal::steadyShare;
+    recovery.baselineGoodput = std::accumulate(first, last, 0.0) / static_cast<double>(last - first);
+    const double threshold = recovery.baselineGoodput * internal::steadyShare;
     for (int second = overload.toSecond; second + internal::steadySeconds <= std::ssize(goodput); ++second) {
         const auto from = goodput.begin() + second;
         const bool isSteady = std::all_of(from, from + internal::steadySeconds, [threshold](const double value) {
--- a/standin/load/recovery.hpp
+++ b/standin/load/recovery.hpp
@@ -13,7 +13,7 @@
 struct Recovery
 {
     /*! @brief Mean weighted goodput by second before the overload. */
-    double levelBefore{};
+    double baselineGoodput{};
     /*! @brief Seconds from the end of the overload; nothing if goodput did not come back within the run. */
     std::optional<int> seconds;
 
--- a/standin/load/run_kind.hpp
+++ b/standin/load/request_kind.hpp
@@ -1,5 +1,5 @@
-#ifndef STANDIN_LOAD_RUN_KIND_HPP
-#define STANDIN_LOAD_RUN_KIND_HPP
+#ifndef STANDIN_LOAD_REQUEST_KIND_HPP
+#define STANDIN_LOAD_REQUEST_KIND_HPP
 
 #include <chrono>
 #include <string>
@@ -8,7 +8,7 @@
 {
 
 /*! @brief A request kind of a run, with what its manifest declares of it. */
-struct RunKind
+struct RequestKind
 {
     /*! @brief `service/kind`. */
     std::string name;
@@ -17,7 +17,7 @@
     /*! @brief Time that an attempt has. */
     std::chrono::milliseconds timeout{};
 
-    friend bool operator==(const RunKind &, const RunKind &) = default;
+    friend bool operator==(const RequestKind &, const RequestKind &) = default;
 };
 
 } // namespace standin::load
--- a/standin/load/result_document.cpp
+++ b/standin/load/result_document.cpp
@@ -50,7 +50,7 @@
     for (std::size_t index = 0; index < quantiles.size(); ++index) {
         object[QStringView{quantileNames.at(index)}] = toMilliseconds(latency.quantile(quantiles.at(index)));
     }
-    object[u"max"] = toMilliseconds(latency.longest());
+    object[u"max"] = toMilliseconds(latency.max());
     return object;
 }
 
@@ -60,12 +60,12 @@
     return found == result.requests.end() ? std::map<std::string, std::uint64_t>{} : found->second;
 }
 
-[[nodiscard]] static double worthOf(const RunKind &kind, const KindResult &result)
+[[nodiscard]] static double completedWorth(const RequestKind &kind, const KindResult &result)
 {
     return kind.worth * static_cast<double>(result.countOf(OutcomeClass::completed));
 }
 
-[[nodiscard]] static QJsonObject kindObject(const RunKind &kind, const KindResult &result, const int seconds)
+[[nodiscard]] static QJsonObject kindObject(const RequestKind &kind, const KindResult &result, const int seconds)
 {
     return {
         {QStringLiteral("worthOfOne"), kind.worth},
@@ -78,7 +78,7 @@
         {QStringLiteral("failed"), toObject(causesOf(result, OutcomeClass::failed))},
         {QStringLiteral("cancelled"), static_cast<qint64>(result.countOf(OutcomeClass::cancelled))},
         {QStringLiteral("attemptCauses"), toObject(result.attemptCauses)},
-        {QStringLiteral("worth"), worthOf(kind, result)},
+        {QStringLiteral("worth"), completedWorth(kind, result)},
         {QStringLiteral("offeredWorth"), kind.worth * static_cast<double>(result.sent)},
         {QStringLiteral("latencyMs"), latencyObject(result.latency)},
         {QStringLiteral("sentBySecond"), toArray(result.sentBySecond, seconds)},
@@ -92,7 +92,7 @@
     double offered = 0.0;
     KindResult all;
     for (std::size_t index = 0; index < run.kinds.size(); ++index) {
-        worth += worthOf(run.kinds[index], run.result.kinds[index]);
+        worth += completedWorth(run.kinds[index], run.result.kinds[index]);
         offered += run.kinds[index].worth * static_cast<double>(run.result.kinds[index].sent);
         all.add(run.result.kinds[index]);
     }
@@ -133,7 +133,7 @@
     return {
         {QStringLiteral("fromSecond"), run.scenario.overload.fromSecond},
         {QStringLiteral("toSecond"), run.scenario.overload.toSecond},
-        {QStringLiteral("levelBefore"), recovery.levelBefore},
+        {QStringLiteral("levelBefore"), recovery.baselineGoodput},
         {QStringLiteral("seconds"), recovery.seconds.has_value() ? QJsonValue{*recovery.seconds} : QJsonValue{}},
     };
 }
@@ -143,7 +143,7 @@
     return {
         {QStringLiteral("workers"), run.workers},
         {QStringLiteral("sendLagMs"), latencyObject(run.result.sendLag)},
-        {QStringLiteral("leftOut"), static_cast<qint64>(run.result.leftOut)},
+        {QStringLiteral("leftOut"), static_cast<qint64>(run.result.skippedRequests)},
     };
 }
 
@@ -155,7 +155,7 @@
     }
     const Recovery recovery = findRecovery(weightedGoodput(run), overload);
     const std::string time = recovery.seconds.has_value() ? fmt::format("{} s", *recovery.seconds) : std::string{"not within the run"};
-    return fmt::format("overload {} to {} s, worth before {:.1f}/s, recovery {}\n", overload.fromSecond, overload.toSecond, recovery.levelBefore, time);
+    return fmt::format("overload {} to {} s, worth before {:.1f}/s, recovery {}\n", overload.fromSecond, overload.toSecond, recovery.baselineGoodput, time);
 }
 
 [[nodiscard]] static std::string kindLine(const std::string &name, const double worth, const KindResult &result)
@@ -233,7 +233,7 @@
     KindResult all;
     double worth = 0.0;
     for (std::size_t index = 0; index < run.kinds.size(); ++index) {
-        const double kindWorth = internal::worthOf(run.kinds[index], run.result.kinds[index]);
+        const double kindWorth = internal::completedWorth(run.kinds[index], run.result.kinds[index]);
         text += internal::kindLine(run.kinds[index].name, kindWorth, run.result.kinds[index]);
         worth += kindWorth;
         all.add(run.result.kinds[index]);
@@ -245,12 +245,13 @@
         }
     }
     text += internal::recoveryLine(run);
-    text += fmt::format(
-        "sent late by p99 {:.2f} ms, left out {}\n", internal::toMilliseconds(run.result.sendLag.quantile(internal::quantiles.at(2))), run.result.leftOut);
+    text += fmt::format("sent late by p99 {:.2f} ms, left out {}\n",
+                        internal::toMilliseconds(run.result.sendLag.quantile(internal::quantiles.at(2))),
+                        run.result.skippedRequests);
     return text;
 }
 
-QByteArray toLines(const std::vector<RunKind> &kinds, const std::vector<HistoryRecord> &history)
+QByteArray toHistoryLines(const std::vector<RequestKind> &kinds, const std::vector<HistoryRecord> &history)
 {
     QByteArray lines;
     for (const HistoryRecord &record : history) {
--- a/standin/load/result_document.hpp
+++ b/standin/load/result_document.hpp
@@ -10,7 +10,7 @@
 
 #include <load/history_record.hpp>
 #include <load/load_result.hpp>
-#include <load/run_kind.hpp>
+#include <load/request_kind.hpp>
 #include <load/scenario.hpp>
 
 namespace standin::load
@@ -20,7 +20,7 @@
 struct FinishedRun
 {
     Scenario scenario;
-    std::vector<RunKind> kinds;
+    std::vector<RequestKind> kinds;
     LoadResult result;
     egretlatch::WallTime startedAt;
     int workers{};
@@ -53,7 +53,7 @@
  * @param history The attempts.
  * @return The lines.
  */
-[[nodiscard]] QByteArray toLines(const std::vector<RunKind> &kinds, const std::vector<HistoryRecord> &history);
+[[nodiscard]] QByteArray toHistoryLines(const std::vector<RequestKind> &kinds, const std::vector<HistoryRecord> &history);
 
 } // namespace standin::load
 
--- a/standin/load/schedule.cpp
+++ b/standin/load/schedule.cpp
@@ -9,10 +9,10 @@
 {
 
 /*! @brief Deals kinds so that after any number of them each has had its share, to within one request. */
-class KindDealer
+class WeightedRoundRobin
 {
 public:
-    explicit KindDealer(const std::vector<KindShare> &kinds)
+    explicit WeightedRoundRobin(const std::vector<KindShare> &kinds)
         : m_kinds{kinds}
         , m_credits(kinds.size(), 0.0)
     {
@@ -26,9 +26,9 @@
         for (std::size_t index = 0; index < m_kinds.size(); ++index) {
             m_credits[index] += m_kinds[index].share;
         }
-        const auto richest = std::max_element(m_credits.begin(), m_credits.end());
-        *richest -= m_total;
-        return static_cast<std::size_t>(richest - m_credits.begin());
+        const auto selected = std::max_element(m_credits.begin(), m_credits.end());
+        *selected -= m_total;
+        return static_cast<std::size_t>(selected - m_credits.begin());
     }
 
 private:
@@ -37,14 +37,14 @@
     double m_total{};
 };
 
-static void
-addSecond(const int second, const int rate, const CallerBehaviour &callers, KindDealer &dealer, egretlatch::RandomSource &random, Schedule &schedule)
+static void addSecond(
+    const int second, const int rate, const CallerBehaviour &callers, WeightedRoundRobin &roundRobin, egretlatch::RandomSource &random, Schedule &schedule)
 {
     const std::size_t first = schedule.size();
     for (int number = 0; number < rate; ++number) {
-        const auto within = std::chrono::duration_cast<egretlatch::Duration>(std::chrono::duration<double>{random.fraction()});
-        const bool isCancelled = random.fraction() < callers.cancelShare;
-        schedule.push_back({.at = std::chrono::seconds{second} + within, .kind = dealer.next(), .isCancelled = isCancelled, .body = {}});
+        const auto offset = std::chrono::duration_cast<egretlatch::Duration>(std::chrono::duration<double>{random.fraction()});
+        const bool isCancelledByCaller = random.fraction() < callers.cancelShare;
+        schedule.push_back({.at = std::chrono::seconds{second} + offset, .kind = roundRobin.next(), .isCancelledByCaller = isCancelledByCaller, .body = {}});
     }
     std::sort(schedule.begin() + static_cast<std::ptrdiff_t>(first), schedule.end(), [](const PlannedRequest &left, const PlannedRequest &right) {
         return left.at < right.at;
@@ -62,7 +62,7 @@
         }
         const auto index = static_cast<std::size_t>(kind - scenario.kinds.begin());
         for (int number = 0; number < single.count; ++number) {
-            schedule.push_back({.at = single.at, .kind = index, .isCancelled = false, .body = single.body});
+            schedule.push_back({.at = single.at, .kind = index, .isCancelledByCaller = false, .body = single.body});
         }
     }
 }
@@ -75,11 +75,11 @@
     if (scenario.kinds.empty()) {
         return schedule;
     }
-    internal::KindDealer dealer{scenario.kinds};
+    internal::WeightedRoundRobin roundRobin{scenario.kinds};
     int second = 0;
     for (const Phase &phase : scenario.phases) {
-        for (int within = 0; within < phase.seconds; ++within) {
-            internal::addSecond(second, phase.rate, scenario.callers, dealer, random, schedule);
+        for (int phaseSecond = 0; phaseSecond < phase.seconds; ++phaseSecond) {
+            internal::addSecond(second, phase.rate, scenario.callers, roundRobin, random, schedule);
             ++second;
         }
     }
--- a/standin/platform_server.cpp
+++ b/standin/platform_server.cpp
@@ -101,8 +101,8 @@
     const QJsonObject counts{
         {u"reads"_qs, static_cast<qint64>(m_reads)},
         {u"writes"_qs, static_cast<qint64>(m_writes)},
-        {u"limited"_qs, static_cast<qint64>(m_limited)},
-        {u"lostAnswers"_qs, static_cast<qint64>(m_lost)},
+        {u"limited"_qs, static_cast<qint64>(m_rateLimited)},
+        {u"lostAnswers"_qs, static_cast<qint64>(m_lostAnswers)},
     };
     makeResponder(request, socket).write(QJsonDocument{counts});
 }
@@ -117,11 +117,11 @@
         return;
     }
     const std::string target = request.url().toEncoded(QUrl::RemoveScheme | QUrl::RemoveAuthority).toStdString();
-    const Result<store::Request> asked = store::decodeRequest({.method = internal::methodName(request), .target = target, .body = request.body()});
-    const store::Outcome outcome = asked.has_value() ? carryOut(*asked) : store::Outcome{tl::unexpected{asked.error()}};
-    const bool hasWritten = asked.has_value() && outcome.has_value() && store::isWrite(*asked);
+    const Result<store::Request> storeRequest = store::decodeRequest({.method = internal::methodName(request), .target = target, .body = request.body()});
+    const store::Outcome outcome = storeRequest.has_value() ? execute(*storeRequest) : store::Outcome{tl::unexpected{storeRequest.error()}};
+    const bool hasWritten = storeRequest.has_value() && outcome.has_value() && store::isWrite(*storeRequest);
     if (hasWritten && m_random.fraction() < m_behaviour.loseAnswerShare) {
-        ++m_lost;
+        ++m_lostAnswers;
         socket->abort();
         return;
     }
@@ -135,7 +135,7 @@
     });
 }
 
-store::Outcome PlatformServer::carryOut(const store::Request &request)
+store::Outcome PlatformServer::execute(const store::Request &request)
 {
     const bool isWrite = store::isWrite(request);
     ++(isWrite ? m_writes : m_reads);
@@ -143,7 +143,7 @@
         return tl::unexpected{Error{ErrorCode::unavailable, "told to be down"}};
     }
     if (!(isWrite ? m_writeCap : m_readCap).tryTake(std::chrono::steady_clock::now())) {
-        ++m_limited;
+        ++m_rateLimited;
         return tl::unexpected{Error{ErrorCode::rateLimited, "too many requests"}};
     }
     return m_store.apply(request);
--- a/standin/platform_server.hpp
+++ b/standin/platform_server.hpp
@@ -61,7 +61,7 @@
     void handleControl(const QHttpServerRequest &request, QTcpSocket *socket);
     void handleCounts(const QHttpServerRequest &request, QTcpSocket *socket);
     void handleStore(const QHttpServerRequest &request, QTcpSocket *socket);
-    [[nodiscard]] egretlatch::store::Outcome carryOut(const egretlatch::store::Request &request);
+    [[nodiscard]] egretlatch::store::Outcome execute(const egretlatch::store::Request &request);
 
     egretlatch::Secret m_token;
     PlatformStore m_store;
@@ -71,8 +71,8 @@
     egretlatch::store::RateCap m_writeCap;
     std::uint64_t m_reads{};
     std::uint64_t m_writes{};
-    std::uint64_t m_limited{};
-    std::uint64_t m_lost{};
+    std::uint64_t m_rateLimited{};
+    std::uint64_t m_lostAnswers{};
 };
 
 /**
--- a/standin/platform_store.cpp
+++ b/standin/platform_store.cpp
@@ -28,20 +28,20 @@
 
 store::Outcome PlatformStore::apply(const store::Request &request)
 {
-    if (const auto *const asked = std::get_if<store::TableRead>(&request)) {
-        return read(*asked);
+    if (const auto *const operation = std::get_if<store::TableRead>(&request)) {
+        return read(*operation);
     }
-    if (const auto *const asked = std::get_if<store::TableScan>(&request)) {
-        return scan(*asked);
+    if (const auto *const operation = std::get_if<store::TableScan>(&request)) {
+        return scan(*operation);
     }
-    if (const auto *const asked = std::get_if<store::TableWrite>(&request)) {
-        return write(*asked);
+    if (const auto *const operation = std::get_if<store::TableWrite>(&request)) {
+        return write(*operation);
     }
-    if (const auto *const asked = std::get_if<store::ObjectPut>(&request)) {
-        return put(*asked);
+    if (const auto *const operation = std::get_if<store::ObjectPut>(&request)) {
+        return put(*operation);
     }
-    if (const auto *const asked = std::get_if<store::ObjectGet>(&request)) {
-        return get(*asked);
+    if (const auto *const operation = std::get_if<store::ObjectGet>(&request)) {
+        return get(*operation);
     }
     return list(std::get<store::ObjectList>(request));
 }
--- a/test/egretlatch/cli/sessions.cpp
+++ b/test/egretlatch/cli/sessions.cpp
@@ -36,7 +36,7 @@
         return request;
     }
 
-    void submit(const configuration::SubmissionRequest &request, std::deque<fakes::Fate> fates = {})
+    void submit(const configuration::SubmissionRequest &request, std::deque<fakes::ScriptedOutcome> fates = {})
     {
         fakes::FakePlatformPort port{store, std::move(fates)};
         const std::string command = "submit --manifest m.json --base " + std::to_string(request.base) + " --submitter " + request.submitter;
@@ -95,15 +95,15 @@
     session.submit(session.request(0, "{\"a\":1}", "anna"));
     const configuration::SubmissionRequest anna = session.request(1, "{\"a\":2}", "anna");
     const configuration::SubmissionRequest bert = session.request(1, "{\"b\":2}", "bert");
-    using fakes::Fate;
-    session.submit(anna, {Fate::answered, Fate::answered, Fate::answerLost});
+    using fakes::ScriptedOutcome;
+    session.submit(anna, {ScriptedOutcome::answered, ScriptedOutcome::answered, ScriptedOutcome::answerLost});
     session.submit(bert);
     session.submit(session.request(2, "{\"b\":3}", "bert"));
     session.submit(anna);
     session.submit(session.request(9, "{\"c\":1}", "carl"));
-    session.submit(session.request(3, "{\"c\":1}", "carl"), std::deque<Fate>(200, Fate::down));
-    std::deque<Fate> fates{Fate::answered, Fate::answered, Fate::answerLost};
-    fates.insert(fates.end(), 200, Fate::down);
+    session.submit(session.request(3, "{\"c\":1}", "carl"), std::deque<ScriptedOutcome>(200, ScriptedOutcome::down));
+    std::deque<ScriptedOutcome> fates{ScriptedOutcome::answered, ScriptedOutcome::answered, ScriptedOutcome::answerLost};
+    fates.insert(fates.end(), 200, ScriptedOutcome::down);
     const configuration::SubmissionRequest carl = session.request(3, "{\"c\":2}", "carl");
     session.submit(carl, fates);
     session.submit(carl);
--- a/test/egretlatch/configuration/submission.cpp
+++ b/test/egretlatch/configuration/submission.cpp
@@ -26,7 +26,7 @@
     return request;
 }
 
-[[nodiscard]] cli::CommandResult run(standin::PlatformStore &store, const SubmissionRequest &request, std::deque<fakes::Fate> fates = {})
+[[nodiscard]] cli::CommandResult run(standin::PlatformStore &store, const SubmissionRequest &request, std::deque<fakes::ScriptedOutcome> fates = {})
 {
     SeededRandom random{1};
     fakes::FakePlatformPort port{store, std::move(fates)};
@@ -38,7 +38,7 @@
     return *decodeHead(std::get<store::RowsReply>(*store.apply(store::TableRead{.key = headKey})).rows.front().value);
 }
 
-constexpr std::deque<fakes::Fate>::size_type requestsOfASubmission = 3;
+constexpr std::deque<fakes::ScriptedOutcome>::size_type requestsOfASubmission = 3;
 
 } // namespace
 
@@ -58,10 +58,10 @@
 {
     // A pipeline submits, the platform's answer is lost, and the pipeline reports a failure of a change that is in force,
     // or submits it twice as two versions. Each of the requests of a submission loses its answer, or the request, here.
-    for (const fakes::Fate fate : {fakes::Fate::answerLost, fakes::Fate::requestLost, fakes::Fate::down}) {
+    for (const fakes::ScriptedOutcome fate : {fakes::ScriptedOutcome::answerLost, fakes::ScriptedOutcome::requestLost, fakes::ScriptedOutcome::down}) {
         for (std::size_t position = 0; position < requestsOfASubmission; ++position) {
             standin::PlatformStore store;
-            std::deque<fakes::Fate> fates(position, fakes::Fate::answered);
+            std::deque<fakes::ScriptedOutcome> fates(position, fakes::ScriptedOutcome::answered);
             fates.push_back(fate);
             CHECK(run(store, makeRequest(0, "first"), fates).code == cli::ExitCode::success);
             CHECK(readHead(store).version == 1);
@@ -91,8 +91,8 @@
 TEST_CASE("a submission that is given up while unsure says so and can be gone on with")
 {
     standin::PlatformStore store;
-    std::deque<fakes::Fate> fates{fakes::Fate::answered, fakes::Fate::answered, fakes::Fate::answerLost};
-    fates.insert(fates.end(), 100, fakes::Fate::down);
+    std::deque<fakes::ScriptedOutcome> fates{fakes::ScriptedOutcome::answered, fakes::ScriptedOutcome::answered, fakes::ScriptedOutcome::answerLost};
+    fates.insert(fates.end(), 100, fakes::ScriptedOutcome::down);
     CHECK(run(store, makeRequest(0, "first"), fates).code == cli::ExitCode::unsure);
     CHECK(run(store, makeRequest(0, "first")).code == cli::ExitCode::success);
     CHECK(readHead(store).version == 1);
--- a/test/egretlatch/retry/shard_grants.cpp
+++ b/test/egretlatch/retry/shard_grants.cpp
@@ -5,8 +5,8 @@
 #include <fmt/format.h>
 
 #include <egretlatch/retry/shard_grants.hpp>
+#include <fakes/in_memory_table.hpp>
 #include <fakes/manual_clock.hpp>
-#include <fakes/table.hpp>
 
 using namespace egretlatch;
 using namespace egretlatch::retry;
@@ -74,7 +74,7 @@
 
     fakes::ManualClock clock;
     SeededRandom random{9};
-    fakes::Table table;
+    fakes::InMemoryTable table;
     std::map<int, std::unique_ptr<ShardGrants>> daemons;
     std::map<int, KeyOwner> owners;
     std::uint64_t lives{};
--- a/test/fakes/fake_platform_port.hpp
+++ b/test/fakes/fake_platform_port.hpp
@@ -12,7 +12,7 @@
 {
 
 /*! @brief What becomes of one request to a fake platform. */
-enum class Fate {
+enum class ScriptedOutcome {
     answered,
     /*! @brief Carried out; the answer is lost. */
     answerLost,
@@ -29,11 +29,11 @@
     /**
      * @brief Builds a port.
      * @param store The platform's state; must outlive the port.
-     * @param fates What becomes of the first requests; later ones are answered.
+     * @param outcomes What becomes of the first requests; later ones are answered.
      */
-    explicit FakePlatformPort(standin::PlatformStore &store, std::deque<Fate> fates = {})
+    explicit FakePlatformPort(standin::PlatformStore &store, std::deque<ScriptedOutcome> outcomes = {})
         : m_store{store}
-        , m_fates{std::move(fates)}
+        , m_scriptedOutcomes{std::move(outcomes)}
     {
     }
 
@@ -44,18 +44,18 @@
         if (onAsk) {
             onAsk(request);
         }
-        const Fate fate = m_fates.empty() ? Fate::answered : m_fates.front();
-        if (!m_fates.empty()) {
-            m_fates.pop_front();
+        const ScriptedOutcome scripted = m_scriptedOutcomes.empty() ? ScriptedOutcome::answered : m_scriptedOutcomes.front();
+        if (!m_scriptedOutcomes.empty()) {
+            m_scriptedOutcomes.pop_front();
         }
-        if (fate == Fate::down) {
+        if (scripted == ScriptedOutcome::down) {
             return tl::unexpected{Error{ErrorCode::unavailable, "the platform is down"}};
         }
-        if (fate == Fate::requestLost) {
+        if (scripted == ScriptedOutcome::requestLost) {
             return tl::unexpected{Error{ErrorCode::timedOut, "the platform did not answer"}};
         }
         egretlatch::store::Outcome outcome = m_store.apply(request);
-        if (fate == Fate::answerLost) {
+        if (scripted == ScriptedOutcome::answerLost) {
             return tl::unexpected{Error{ErrorCode::timedOut, "the platform did not answer"}};
         }
         return outcome;
@@ -70,7 +70,7 @@
 
 private:
     standin::PlatformStore &m_store;
-    std::deque<Fate> m_fates;
+    std::deque<ScriptedOutcome> m_scriptedOutcomes;
 };
 
 } // namespace fakes
--- a/test/fakes/table.hpp
+++ b/test/fakes/in_memory_table.hpp
@@ -1,5 +1,5 @@
-#ifndef TEST_FAKES_TABLE_HPP
-#define TEST_FAKES_TABLE_HPP
+#ifndef TEST_FAKES_IN_MEMORY_TABLE_HPP
+#define TEST_FAKES_IN_MEMORY_TABLE_HPP
 
 #include <algorithm>
 #include <cstdint>
@@ -12,7 +12,7 @@
 {
 
 /*! @brief The platform's table, in memory: conditional writes of several rows, all or none. */
-class Table
+class InMemoryTable
 {
 public:
     /**
@@ -24,13 +24,13 @@
     {
         using namespace egretlatch::store;
         if (const auto *const read = std::get_if<TableRead>(&request)) {
-            return rowsFrom(read->key, read->key, 1);
+            return readRange(read->key, read->key, 1);
         }
         if (const auto *const scan = std::get_if<TableScan>(&request)) {
-            return rowsFrom(std::max(scan->prefix, scan->after), scan->prefix + "\x7f", scan->limit);
+            return readRange(std::max(scan->prefix, scan->after), scan->prefix + "\x7f", scan->limit);
         }
         if (const auto *const write = std::get_if<TableWrite>(&request)) {
-            return carryOut(*write);
+            return applyWrite(*write);
         }
         return tl::unexpected{egretlatch::Error{egretlatch::ErrorCode::notFound, "no objects are kept"}};
     }
@@ -42,7 +42,7 @@
     }
 
 private:
-    [[nodiscard]] egretlatch::store::Outcome rowsFrom(const std::string &first, const std::string &last, const int limit) const
+    [[nodiscard]] egretlatch::store::Outcome readRange(const std::string &first, const std::string &last, const int limit) const
     {
         egretlatch::store::RowsReply reply;
         for (auto row = m_rows.lower_bound(first); row != m_rows.end() && row->first <= last && static_cast<int>(reply.rows.size()) < limit; ++row) {
@@ -51,7 +51,7 @@
         return reply;
     }
 
-    [[nodiscard]] egretlatch::store::Outcome carryOut(const egretlatch::store::TableWrite &write)
+    [[nodiscard]] egretlatch::store::Outcome applyWrite(const egretlatch::store::TableWrite &write)
     {
         for (const auto &condition : write.conditions) {
             const auto row = m_rows.find(condition.key);
--- a/test/history/schedule.hpp
+++ b/test/history/schedule.hpp
@@ -10,8 +10,8 @@
 #include <egretlatch/core/random_source.hpp>
 #include <egretlatch/decision/core.hpp>
 #include <fakes/counting_metrics.hpp>
+#include <fakes/in_memory_table.hpp>
 #include <fakes/manual_clock.hpp>
-#include <fakes/table.hpp>
 #include <history/history.hpp>
 
 namespace history
@@ -145,7 +145,7 @@
     egretlatch::SeededRandom m_random;
     fakes::ManualClock m_clock;
     fakes::CountingMetrics m_metrics;
-    fakes::Table m_table;
+    fakes::InMemoryTable m_table;
     Clock m_tableDownUntil{};
     std::shared_ptr<const egretlatch::manifest::Manifest> m_manifest;
     Faults m_faults;
--- a/test/standin/load/attempt_outcome.cpp
+++ b/test/standin/load/attempt_outcome.cpp
@@ -2,42 +2,43 @@
 
 #include <load/attempt_outcome.hpp>
 
-using standin::load::HttpEnd;
+using standin::load::classifyReply;
 using standin::load::HttpReply;
-using standin::load::judge;
 using standin::load::OutcomeClass;
+using standin::load::TransportResult;
 
 TEST_CASE("attempt outcome: only the whole answer to the request itself completes it")
 {
-    HttpReply reply{.end = HttpEnd::answered, .status = 200, .verdict = "completed", .nextKey = {}, .retryAfter = {}, .body = "mine", .keepsConnection = true};
-    CHECK((judge(reply, "mine").outcomeClass == OutcomeClass::completed));
+    HttpReply reply{
+        .transport = TransportResult::answered, .status = 200, .verdict = "completed", .nextKey = {}, .retryAfter = {}, .body = "mine", .isKeepAlive = true};
+    CHECK((classifyReply(reply, "mine").outcomeClass == OutcomeClass::completed));
     reply.body = "another's";
-    CHECK(judge(reply, "mine").cause == "wrong-answer");
+    CHECK(classifyReply(reply, "mine").cause == "wrong-answer");
     reply.status = 500;
-    CHECK(judge(reply, "mine").cause == "status-500");
+    CHECK(classifyReply(reply, "mine").cause == "status-500");
 }
 
 TEST_CASE("attempt outcome: a refusal is named by the system's reason and its verdict")
 {
-    HttpReply reply{.end = HttpEnd::answered,
+    HttpReply reply{.transport = TransportResult::answered,
                     .status = 429,
                     .verdict = "not-run",
                     .nextKey = {},
                     .retryAfter = {},
                     .body = R"({"reason":"overload-at-entry"})",
-                    .keepsConnection = true};
-    CHECK((judge(reply, "").outcomeClass == OutcomeClass::refused));
-    CHECK(judge(reply, "").cause == "overload-at-entry");
+                    .isKeepAlive = true};
+    CHECK((classifyReply(reply, "").outcomeClass == OutcomeClass::refused));
+    CHECK(classifyReply(reply, "").cause == "overload-at-entry");
     reply.verdict = "may-have-run";
-    CHECK((judge(reply, "").outcomeClass == OutcomeClass::mayHaveRun));
+    CHECK((classifyReply(reply, "").outcomeClass == OutcomeClass::mayHaveRun));
     reply.verdict = "";
-    CHECK(judge(reply, "").cause == "no-verdict-status-429");
+    CHECK(classifyReply(reply, "").cause == "no-verdict-status-429");
 }
 
 TEST_CASE("attempt outcome: without an answer nothing is known")
 {
     HttpReply reply;
-    reply.end = HttpEnd::timedOut;
-    CHECK((judge(reply, "").outcomeClass == OutcomeClass::failed));
-    CHECK(judge(reply, "").cause == "no-answer");
+    reply.transport = TransportResult::timedOut;
+    CHECK((classifyReply(reply, "").outcomeClass == OutcomeClass::failed));
+    CHECK(classifyReply(reply, "").cause == "no-answer");
 }
--- a/test/standin/load/latency_histogram.cpp
+++ b/test/standin/load/latency_histogram.cpp
@@ -33,7 +33,7 @@
     second.add(std::chrono::seconds{2});
     first.add(second);
     CHECK(first.count() == 2);
-    CHECK(first.longest() == std::chrono::seconds{2});
+    CHECK(first.max() == std::chrono::seconds{2});
     CHECK(first.quantile(1.0) == std::chrono::seconds{2});
 }
 
--- a/test/standin/load/recovery.cpp
+++ b/test/standin/load/recovery.cpp
@@ -16,7 +16,7 @@
 {
     const std::vector<double> goodput{0, 50, 100, 100, 40, 40, 60, 100, 90, 95, 96, 120, 10};
     const auto recovery = findRecovery(goodput, overload);
-    CHECK(recovery.levelBefore == 100.0);
+    CHECK(recovery.baselineGoodput == 100.0);
     CHECK(recovery.seconds == 3);
 }
 
