--- a/standin/backend_server.hpp
+++ b/standin/backend_server.hpp
@@ -23,49 +23,49 @@
 namespace standin
 {
 
-/*! @brief What a backend stand-in is told on its command line. */
+/*! @brief Command line options of a simulated backend server. */
 struct BackendOptions
 {
     std::uint16_t port{};
     std::string daemonUrl;
     std::string service;
     std::string manifestPath;
-    /*! @brief Zero for the manifest's number. */
+    /*! @brief Number of requests run concurrently; zero to use the number of slots in the manifest. */
     int slots{};
     std::uint64_t seed{1};
 };
 
-/*! @brief How a backend stand-in misbehaves; set by `POST /control`. */
+/*! @brief Injected faults of a simulated backend server; set by `POST /control`. */
 struct BackendBehaviour
 {
-    /*! @brief Factor on the time of each run. */
+    /*! @brief Multiplier of the execution time of each request. */
     double slowdown{1.0};
-    /*! @brief Share of the requests that are answered with 500 at once. */
+    /*! @brief Fraction of the requests that are immediately answered with status 500. */
     double failShare{};
-    /*! @brief Share of the requests that are refused with 503 and `not-run`. */
+    /*! @brief Fraction of the requests that are refused with status 503 and verdict `not-run`. */
     double rejectShare{};
-    /*! @brief Share of the requests whose connection is closed in the middle of the run. */
+    /*! @brief Fraction of the requests whose connection is aborted after execution has started; `cutShare` in the document. */
     double disconnectShare{};
-    /*! @brief Requests whose body has this text end the process; empty for none. */
+    /*! @brief Text that terminates the process when the body of a started request contains it; empty to disable. */
     std::string crashOn;
-    /*! @brief Never answers. */
+    /*! @brief Leaves started requests unanswered, each of which keeps its slot. */
     bool hangs{};
-    /*! @brief Claims in its load report to be idle. */
+    /*! @brief Reports zero running and waiting requests at `/load`, whatever the actual load; `lies` in the document. */
     bool reportsIdle{};
 };
 
-/*! @brief A backend server of one service. */
+/*! @brief Simulated backend server of one service: limits concurrency to its slots, queues requests and makes the declared inner calls. */
 class BackendServer final : public QAbstractHttpServer
 {
 public:
     /**
-     * @brief Builds a server that does not listen yet.
-     * @param options What it serves.
-     * @param service Its declaration.
+     * @brief Constructs a server that is not listening yet.
+     * @param options Command line options.
+     * @param service Declaration of the service in the manifest.
      */
     BackendServer(BackendOptions options, egretlatch::manifest::ServiceSpec service);
 
-    /*! @brief Announces itself to the daemon beside it, again and again until it is told to drain. */
+    /*! @brief Sends an announcement to the daemon on the same VM; a timer repeats it every second for the lifetime of the server. */
     void announce();
 
 protected:
@@ -113,11 +113,11 @@
 };
 
 /**
- * @brief Runs a backend stand-in until it is killed.
- * @param options What it serves.
- * @param argc Count of the program's arguments.
- * @param argv The program's arguments.
- * @return Exit code.
+ * @brief Runs a simulated backend server until the process is killed.
+ * @param options Command line options.
+ * @param argc Number of program arguments.
+ * @param argv Program arguments.
+ * @return Exit code: failure if the manifest cannot be read, does not declare the service, or the port is not available.
  */
 [[nodiscard]] int runBackend(BackendOptions options, int argc, char **argv);
 
--- a/standin/latency_probe.cpp
+++ b/standin/latency_probe.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t bufferSize = 16384;
 constexpr std::chrono::milliseconds startDelay{100};
 
-/*! @brief What all connections measured. */
+/*! @brief Latencies and failures of all connections. */
 struct Samples
 {
     std::mutex mutex;
--- a/standin/latency_probe.hpp
+++ b/standin/latency_probe.hpp
@@ -7,25 +7,27 @@
 namespace standin
 {
 
-/*! @brief What the latency probe is told on its command line. */
+/*! @brief Command line options of the latency probe. */
 struct ProbeOptions
 {
     std::uint16_t port{};
     std::string path;
-    /*! @brief Value of `Egretlatch-Kind`, for a backend server asked without a daemon; empty for none. */
+    /*! @brief Value of the `Egretlatch-Kind` header, required if the request goes to a backend server directly; empty to omit the header. */
     std::string kind;
+    /*! @brief Requests per second over all connections. */
     int rate{};
     int seconds{};
     int connections{32};
 };
 
 /**
- * @brief Sends the same GET at a fixed rate over blocking connections and prints one line of JSON.
+ * @brief Sends identical GET requests at a fixed rate over blocking connections and prints the latencies as one line of JSON.
  *
- * Times count from the intended moment of sending, so that a slow answer does not hide the wait of the next request.
- * It does as little as possible itself, and is for comparing two ways of the same request, not for load.
- * @param options What to send, and how often.
- * @return Exit code: 0 if every answer was 200.
+ * Latency is measured from the scheduled send time, so that the delay that a slow response causes to the next request on the
+ * same connection is included (no coordinated omission). The probe has minimal overhead and is meant for comparing two paths
+ * of the same request, not for generating load.
+ * @param options Request and rate.
+ * @return Exit code: 0 if every response had status 200.
  */
 [[nodiscard]] int runProbe(const ProbeOptions &options);
 
--- a/standin/load/attempt_outcome.hpp
+++ b/standin/load/attempt_outcome.hpp
@@ -9,49 +9,49 @@
 namespace standin::load
 {
 
-/*! @brief What an attempt, or a request by its last attempt, came to. */
+/*! @brief Classification of the result of an attempt; a request has the class of its last attempt. */
 enum class OutcomeClass {
-    /*! @brief The whole answer to this very request came back. */
+    /*! @brief The complete answer to this request was received. */
     completed,
-    /*! @brief The system says that the request has not run. */
+    /*! @brief The system reported that the request was not run, or no request key was available to send it with. */
     refused,
-    /*! @brief The system says that the request may have run. */
+    /*! @brief The system reported that the request may have run. */
     mayHaveRun,
-    /*! @brief No verdict came, or an error from the backend server. */
+    /*! @brief No valid verdict was received, the backend server answered with an error, or the answer belongs to another request. */
     failed,
-    /*! @brief The caller closed the connection on purpose. */
+    /*! @brief The caller closed the connection deliberately. */
     cancelled,
 };
 
 /**
- * @brief Gives the name used in results.
+ * @brief Returns the name of a class as used in results.
  * @param outcomeClass The class.
- * @return A name in lower case with dashes.
+ * @return Name in lower case, with words separated by dashes.
  */
 [[nodiscard]] std::string_view toString(OutcomeClass outcomeClass) noexcept;
 
-/*! @brief An attempt's class and what brought it about. */
+/*! @brief Outcome of an attempt: its class and the cause. */
 struct AttemptOutcome
 {
     OutcomeClass outcomeClass{OutcomeClass::failed};
-    /*! @brief The system's reason for a refusal, or a word such as `no-answer`; empty if completed. */
+    /*! @brief Reason in the refusal, or an identifier such as `no-answer`; empty if completed. */
     std::string cause;
 
     friend bool operator==(const AttemptOutcome &, const AttemptOutcome &) = default;
 };
 
 /**
- * @brief Judges what came back on an attempt.
- * @param reply What came back.
- * @param body Body that was sent; an answer without it belongs to another request.
- * @return The outcome; `wrong-answer` for an answer that belongs to another request.
+ * @brief Classifies the reply to an attempt.
+ * @param reply The reply.
+ * @param body Request body; backend servers echo it, so an answer with a different body belongs to another request.
+ * @return The outcome; its cause is `wrong-answer` for an answer that belongs to another request.
  */
 [[nodiscard]] AttemptOutcome classifyReply(const HttpReply &reply, const std::string &body);
 
 /**
- * @brief Reads the key that a daemon minted.
- * @param reply Answer to `POST /keys/{service}/{kind}`.
- * @return The key, or an empty text if there is none in the answer.
+ * @brief Extracts the request key minted by a daemon.
+ * @param reply Reply to `POST /keys/{service}/{kind}`.
+ * @return The key, or an empty string if the exchange failed or the answer contains none.
  */
 [[nodiscard]] std::string parseMintedKey(const HttpReply &reply);
 
--- a/standin/load/connection_pool.hpp
+++ b/standin/load/connection_pool.hpp
@@ -10,25 +10,26 @@
 namespace standin::load
 {
 
-/*! @brief Connections to one entry; as many as there are exchanges at a time, kept for the next. */
+/*! @brief Unbounded pool of keep-alive connections to one entry; each exchange in progress has a connection of its own. */
 class ConnectionPool
 {
 public:
     /**
-     * @brief Builds an empty pool.
-     * @param context Runs the connections.
-     * @param url Base URL with an IP number and a port.
+     * @brief Constructs an empty pool.
+     * @param context Context that runs the asynchronous operations of the connections.
+     * @param url Base URL with a numeric IP address and a port.
      */
     ConnectionPool(boost::asio::io_context &context, const std::string &url);
 
     /**
-     * @brief Sends a request over an idle connection, or a new one.
+     * @brief Sends a request over an idle connection, or over a new one if none is idle.
      * @param request The request.
-     * @param timeout Time for the whole exchange.
-     * @param handler Called once, with how it ended.
+     * @param timeout Time limit of the whole exchange, including the connection setup.
+     * @param handler Called once, with the reply or the transport failure.
      */
     void exchange(HttpRequest request, egretlatch::Duration timeout, HttpConnection::Handler handler);
 
+    /*! @brief Returns the value for the `Host` header. */
     [[nodiscard]] const std::string &authority() const noexcept
     {
         return m_authority;
--- a/standin/load/fault_injector.cpp
+++ b/standin/load/fault_injector.cpp
@@ -43,7 +43,7 @@
 {
     const auto found = m_mesh.controls.find(step.service);
     if (found == m_mesh.controls.end()) {
-        fmt::print(stderr, "load: the deployment has no service {}\n", step.service);
+        fmt::print(stderr, "load: cannot inject a fault: the deployment has no service {}\n", step.service);
         return;
     }
     const std::vector<std::string> &urls = found->second;
@@ -63,7 +63,7 @@
     request.prepare_payload();
     pool.exchange(std::move(request), internal::controlTimeout, [&url](const HttpReply &reply) {
         if (reply.transport != TransportResult::answered || reply.status >= internal::minControlErrorStatus) {
-            fmt::print(stderr, "load: {} did not take its behaviour: {} {}\n", url, reply.status, reply.body);
+            fmt::print(stderr, "load: POST /control to {} failed: status {}, body {}\n", url, reply.status, reply.body);
         }
     });
     m_context.restart();
--- a/standin/load/fault_injector.hpp
+++ b/standin/load/fault_injector.hpp
@@ -14,19 +14,19 @@
 namespace standin::load
 {
 
-/*! @brief Posts behaviours to backend servers at their times; runs on a thread of its own. */
+/*! @brief Posts the declared behaviours to backend servers and to the platform at their scheduled times; runs on its own thread. */
 class FaultInjector
 {
 public:
     /**
-     * @brief Builds the injector.
-     * @param mesh Addresses of the backend servers; must outlive the injector.
-     * @param steps All steps; those that are not for `/control` are passed over.
-     * @param start Start of the run.
+     * @brief Constructs an injector.
+     * @param mesh Addresses of the deployment; must outlive the injector.
+     * @param steps All fault steps; steps with an action other than `control` are ignored.
+     * @param start Start of the run, from which the times of the steps count.
      */
     FaultInjector(const Mesh &mesh, std::vector<FaultStep> steps, egretlatch::SteadyTime start);
 
-    /*! @brief Takes each step at its time and returns after the last. */
+    /*! @brief Executes each step at its time and returns after the last one; blocks the calling thread. */
     void run();
 
 private:
--- a/standin/load/history_record.hpp
+++ b/standin/load/history_record.hpp
@@ -11,19 +11,22 @@
 namespace standin::load
 {
 
-/*! @brief One attempt at the caller's side, for checks of the whole history. */
+/*! @brief Attempt as observed by the caller, for checkers that verify the whole history. */
 struct HistoryRecord
 {
-    /*! @brief Index into the kinds of the run. */
+    /*! @brief Index into the request kinds of the run. */
     std::size_t kind{};
-    /*! @brief Names the request over all its attempts and keys. */
+    /*! @brief Identifier of the request, the same for all its attempts and keys. */
     std::string request;
-    /*! @brief Request key; empty for a kind that is idempotent. */
+    /*! @brief Request key; empty for an idempotent kind, or if no daemon minted one. */
     std::string key;
+    /*! @brief Number of the attempt, counted from 1. */
     int attempt{};
-    /*! @brief Time from the start of the run. */
+    /*! @brief Send time, from the start of the run. */
     egretlatch::Duration sent{};
+    /*! @brief End time, from the start of the run. */
     egretlatch::Duration ended{};
+    /*! @brief HTTP status; zero without an answer. */
     int status{};
     AttemptOutcome outcome;
 
--- a/standin/load/http_connection.cpp
+++ b/standin/load/http_connection.cpp
@@ -105,7 +105,7 @@
     if (!reply.isKeepAlive) {
         m_stream.close();
     }
-    // The handler may start the next exchange, so it is taken out first.
+    // The handler may start the next exchange, which sets m_handler, so it is moved out before the call.
     const Handler handler = std::exchange(m_handler, nullptr);
     handler(std::move(reply));
 }
--- a/standin/load/http_connection.hpp
+++ b/standin/load/http_connection.hpp
@@ -21,30 +21,30 @@
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
-/*! @brief One connection to an entry; carries one exchange at a time and never sends a request again by itself. */
+/*! @brief Asynchronous HTTP client connection to an entry; handles one exchange at a time and never retries a request. */
 class HttpConnection final : public std::enable_shared_from_this<HttpConnection>
 {
 public:
     using Handler = std::function<void(HttpReply)>;
 
     /**
-     * @brief Builds a connection that is opened by its first exchange.
-     * @param context Runs its operations.
-     * @param endpoint Where to connect to.
+     * @brief Constructs a connection, which the first exchange opens.
+     * @param context Context that runs the asynchronous operations.
+     * @param endpoint Address to connect to.
      */
     HttpConnection(boost::asio::io_context &context, boost::asio::ip::tcp::endpoint endpoint);
 
     /**
      * @brief Sends a request and reads the answer.
      * @param request The request.
-     * @param timeout Time for connecting, sending and reading together; the connection is closed when it has passed.
-     * @param handler Called once, with how it ended.
+     * @param timeout Time limit of connecting, sending and reading together; the connection is closed when it expires.
+     * @param handler Called once, with the reply or the transport failure.
      */
     void exchange(HttpRequest request, egretlatch::Duration timeout, Handler handler);
 
     /**
-     * @brief Tells whether the other side has left the idle connection open.
-     * @return False if it is closed or holds bytes that nobody asked for.
+     * @brief Checks that the idle connection can be reused.
+     * @return False if the peer has closed it, or it has unexpected bytes to read.
      */
     [[nodiscard]] bool isUsable();
 
--- a/standin/load/http_reply.hpp
+++ b/standin/load/http_reply.hpp
@@ -7,28 +7,29 @@
 namespace standin::load
 {
 
-/*! @brief How an HTTP exchange ended. */
+/*! @brief Result of an HTTP exchange at the transport level. */
 enum class TransportResult {
     answered,
-    /*! @brief No connection could be opened; nothing was sent. */
+    /*! @brief The connection could not be opened; nothing was sent. */
     connectFailed,
-    /*! @brief The connection broke before the whole answer. */
+    /*! @brief The connection failed before the complete answer was received. */
     connectionLost,
     timedOut,
 };
 
-/*! @brief What came back on an exchange. */
+/*! @brief Reply to an HTTP request; the fields other than the transport result are only set if it was answered. */
 struct HttpReply
 {
     TransportResult transport{TransportResult::connectionLost};
     int status{};
-    /*! @brief Value of `Egretlatch-Verdict`. */
+    /*! @brief Value of the `Egretlatch-Verdict` header. */
     std::string verdict;
-    /*! @brief Key that a resend is to use; empty for the same one. */
+    /*! @brief Request key for a resend, from `Egretlatch-Next-Key`; empty to reuse the same key. */
     std::string nextKey;
-    /*! @brief Value of `Retry-After`; zero without one. */
+    /*! @brief Value of the `Retry-After` header; zero if absent. */
     std::chrono::seconds retryAfter{};
     std::string body;
+    /*! @brief True if the connection stays open for another exchange. */
     bool isKeepAlive{};
 
     friend bool operator==(const HttpReply &, const HttpReply &) = default;
--- a/standin/load/kind_result.hpp
+++ b/standin/load/kind_result.hpp
@@ -12,29 +12,30 @@
 namespace standin::load
 {
 
-/*! @brief Numbers by second of the run. */
+/*! @brief Event counts for each second of the run. */
 class SecondCounts
 {
 public:
     /**
-     * @brief Counts one.
-     * @param second Second from the start of the run; negative ones count as the first.
+     * @brief Increments the count of a second.
+     * @param second Second from the start of the run; a negative one is counted in second 0.
      */
     void add(std::int64_t second);
 
     /**
-     * @brief Adds the numbers of another.
-     * @param other The other one.
+     * @brief Adds the counts of another object, second by second.
+     * @param other Counts to add.
      */
     void add(const SecondCounts &other);
 
     /**
-     * @brief Gives the number of a second.
+     * @brief Returns the count of a second.
      * @param second Second from the start of the run.
-     * @return How many were counted in it.
+     * @return The count; zero past the last counted second.
      */
     [[nodiscard]] std::uint64_t at(std::size_t second) const;
 
+    /*! @brief Returns the number of seconds up to the last counted one. */
     [[nodiscard]] std::size_t size() const noexcept
     {
         return m_counts.size();
@@ -44,31 +45,31 @@
     std::vector<std::uint64_t> m_counts;
 };
 
-/*! @brief What became of the requests of one kind. */
+/*! @brief Results of the requests of one kind. */
 struct KindResult
 {
-    /*! @brief Distinct requests, however often each was resent. */
+    /*! @brief Number of distinct requests, excluding resends. */
     std::uint64_t sent{};
     std::uint64_t attempts{};
-    /*! @brief Distinct requests by the outcome of the last attempt. */
+    /*! @brief Number of distinct requests by the class and cause of their last attempt. */
     std::map<OutcomeClass, std::map<std::string, std::uint64_t>> requests;
-    /*! @brief Attempts that did not complete, by cause. */
+    /*! @brief Number of attempts that did not complete, by cause. */
     std::map<std::string, std::uint64_t> attemptCauses;
-    /*! @brief Completed requests, from the intended time of the first attempt to the whole answer. */
+    /*! @brief Latency of the completed requests, from the scheduled time of the first attempt to the complete answer. */
     LatencyHistogram latency;
     SecondCounts sentBySecond;
     SecondCounts completedBySecond;
 
     /**
-     * @brief Adds the numbers of another worker.
-     * @param other The other result.
+     * @brief Adds the results of another worker or kind.
+     * @param other Results to add.
      */
     void add(const KindResult &other);
 
     /**
-     * @brief Counts the requests of a class.
+     * @brief Returns the number of requests of a class.
      * @param outcomeClass The class.
-     * @return Sum over its causes.
+     * @return Sum over all causes.
      */
     [[nodiscard]] std::uint64_t countOf(OutcomeClass outcomeClass) const;
 };
--- a/standin/load/latency_histogram.hpp
+++ b/standin/load/latency_histogram.hpp
@@ -10,37 +10,39 @@
 {
 
 /**
- * @brief Counts spans of time in buckets that grow with the span; two histograms can be added.
+ * @brief Log-linear histogram of durations that can be merged with another one.
  *
- * Each power of two of microseconds has 32 buckets, so a quantile is at most 1/32 above the true value.
+ * Each power of two of microseconds is divided into 32 buckets, so a quantile is at most 1/32 above the exact value.
  */
 class LatencyHistogram
 {
 public:
     /**
-     * @brief Adds a span.
-     * @param span The span; a negative one counts as zero.
+     * @brief Records a duration.
+     * @param duration The duration; a negative one is recorded as zero.
      */
     void add(egretlatch::Duration duration);
 
     /**
-     * @brief Adds all spans of another histogram.
-     * @param other The other histogram.
+     * @brief Adds all durations recorded in another histogram.
+     * @param other Histogram to add.
      */
     void add(const LatencyHistogram &other);
 
     /**
-     * @brief Gives a quantile.
-     * @param fraction Part of the spans that are not longer, from 0 to 1.
-     * @return Upper end of the bucket, but not above the longest span; zero without spans.
+     * @brief Returns a quantile.
+     * @param fraction Fraction of the recorded durations that are not longer, from 0 to 1.
+     * @return Upper bound of the bucket, limited to the longest recorded duration; zero if the histogram is empty.
      */
     [[nodiscard]] egretlatch::Duration quantile(double fraction) const;
 
+    /*! @brief Returns the number of recorded durations. */
     [[nodiscard]] std::uint64_t count() const noexcept
     {
         return m_count;
     }
 
+    /*! @brief Returns the longest recorded duration; zero if the histogram is empty. */
     [[nodiscard]] egretlatch::Duration max() const noexcept
     {
         return m_max;
--- a/standin/load/load_command.cpp
+++ b/standin/load/load_command.cpp
@@ -51,7 +51,7 @@
     for (const KindShare &share : scenario.kinds) {
         const egretlatch::manifest::KindSpec *const spec = manifest.findKind(share.service, share.kind);
         if (spec == nullptr) {
-            fmt::print(stderr, "the manifest declares no kind {} of {}\n", share.kind, share.service);
+            fmt::print(stderr, "the manifest declares no kind {} of service {}\n", share.kind, share.service);
             return std::nullopt;
         }
         kinds.push_back({
@@ -64,7 +64,7 @@
     return kinds;
 }
 
-/*! @brief Many callers at a time need many sockets; the usual soft limit is 1024. */
+/*! @brief Raises the limit of open files to the hard limit: every concurrent request needs a socket, and the usual soft limit is 1024. */
 static void raiseFileLimit()
 {
     rlimit limit{};
@@ -103,7 +103,7 @@
     return now + std::chrono::duration_cast<egretlatch::Duration>(startAt - std::chrono::system_clock::now());
 }
 
-/*! @brief Runs all workers and the faults, each on a thread of its own. */
+/*! @brief Runs each worker and the fault injector on its own thread, and waits for all of them. */
 static void runAll(std::vector<std::unique_ptr<LoadWorker>> &workers, FaultInjector &injector)
 {
     std::vector<std::thread> threads;
--- a/standin/load/load_result.hpp
+++ b/standin/load/load_result.hpp
@@ -11,22 +11,22 @@
 namespace standin::load
 {
 
-/*! @brief What a worker, or all workers together, saw. */
+/*! @brief Results of one worker, or the sum over all workers. */
 struct LoadResult
 {
-    /*! @brief In the order of the run's kinds. */
+    /*! @brief Results by kind, in the order of the request kinds of the run. */
     std::vector<KindResult> kinds;
     SecondCounts attemptsBySecond;
-    /*! @brief Attempts that did not complete, by cause. */
+    /*! @brief Attempts that did not complete, by cause and second. */
     std::map<std::string, SecondCounts> causesBySecond;
-    /*! @brief How late the tool sent, against the intended times. */
+    /*! @brief Delay of the first attempt of each request after its scheduled time, caused by the load tool itself. */
     LatencyHistogram sendLag;
-    /*! @brief Requests left out because too many were open at a time. */
+    /*! @brief Requests not sent because the worker had reached its limit of open requests. */
     std::uint64_t skippedRequests{};
 
     /**
-     * @brief Adds what another worker saw.
-     * @param other The other result.
+     * @brief Adds the results of another worker.
+     * @param other Results to add.
      */
     void add(const LoadResult &other);
 };
--- a/standin/load/load_worker.cpp
+++ b/standin/load/load_worker.cpp
@@ -12,9 +12,9 @@
 namespace internal
 {
 
-/*! @brief Time beyond the timeout in which a caller still hears that its time has passed. */
+/*! @brief Time beyond the timeout that a caller waits, in which it can still receive the answer that its deadline has passed. */
 constexpr std::chrono::milliseconds timeoutGrace{250};
-/*! @brief Open exchanges of one worker; more would run out of ports before they measured anything. */
+/*! @brief Maximum number of open requests per worker; more would exhaust the local ports before giving a useful measurement. */
 constexpr int maxOpenRequests = 6'000;
 constexpr double minJitterFactor = 0.8;
 constexpr double jitterRange = 0.4;
@@ -116,7 +116,7 @@
             sendCall(request);
             return;
         }
-        // Nothing was sent that could run: the call itself is only made with a key.
+        // The call is only sent with a key, so nothing can have run and the attempt counts as refused.
         handleOutcome(request, now, {.outcomeClass = OutcomeClass::refused, .cause = "no-key"}, reply);
     });
 }
--- a/standin/load/load_worker.hpp
+++ b/standin/load/load_worker.hpp
@@ -22,30 +22,32 @@
 namespace standin::load
 {
 
-/*! @brief What all workers of a run share; must outlive them. */
+/*! @brief Parameters shared by all workers of a run; must outlive them. */
 struct RunPlan
 {
     std::vector<RequestKind> kinds;
     CallerBehaviour callers;
+    /*! @brief Base URLs of the daemons; each attempt goes to a random one. */
     std::vector<std::string> entries;
     egretlatch::SteadyTime start;
+    /*! @brief Records every attempt for LoadWorker::history(). */
     bool keepsHistory{};
 };
 
-/*! @brief Plays the callers of a part of the schedule on one thread. */
+/*! @brief Sends a part of the schedule on one thread, as open-loop load: a slow answer does not delay later requests. */
 class LoadWorker
 {
 public:
     /**
-     * @brief Builds a worker.
-     * @param plan What all workers share.
-     * @param schedule Its part of the requests, earliest first.
-     * @param seed Seed of its choices of entries, keys and waits.
-     * @param number Makes the bodies of this worker unlike those of the others.
+     * @brief Constructs a worker.
+     * @param plan Parameters shared by all workers; must outlive the worker.
+     * @param schedule Requests of this worker, sorted by time.
+     * @param seed Seed for the choice of entries, the keys and the jitter of resends.
+     * @param workerIndex Index of the worker, which makes its request names and bodies distinct from those of other workers.
      */
     LoadWorker(const RunPlan &plan, Schedule schedule, std::uint64_t seed, int workerIndex);
 
-    /*! @brief Sends all requests at their times and returns when the last has ended. */
+    /*! @brief Sends all requests at their scheduled times and returns when the last one has ended; blocks the calling thread. */
     void run();
 
     [[nodiscard]] const LoadResult &result() const noexcept
--- a/standin/load/parse_scenario.cpp
+++ b/standin/load/parse_scenario.cpp
@@ -115,7 +115,7 @@
     return span;
 }
 
-/*! @brief Reads what only scripts/experiment uses, so that it counts as known. */
+/*! @brief Validates and discards the members that only scripts/experiment uses, so that they are not reported as unknown. */
 static void readDeployment(JsonObjectReader &reader)
 {
     static_cast<void>(reader.text("story", ""));
--- a/standin/load/planned_request.hpp
+++ b/standin/load/planned_request.hpp
@@ -10,15 +10,16 @@
 namespace standin::load
 {
 
-/*! @brief A request that is to be sent at a time, whatever became of those before it. */
+/*! @brief Request scheduled for a fixed time, independent of the outcome of earlier requests. */
 struct PlannedRequest
 {
-    /*! @brief Time from the start of the run. */
+    /*! @brief Scheduled send time, from the start of the run. */
     egretlatch::Duration at{};
-    /*! @brief Index into the kinds of the run. */
+    /*! @brief Index into the request kinds of the run. */
     std::size_t kind{};
+    /*! @brief True if the caller closes the connection before the answer. */
     bool isCancelledByCaller{};
-    /*! @brief Body to send; empty for one made from the request's number. */
+    /*! @brief Body to send; empty to generate one from the name of the request. */
     std::string body;
 
     friend bool operator==(const PlannedRequest &, const PlannedRequest &) = default;
--- a/standin/load/recovery.hpp
+++ b/standin/load/recovery.hpp
@@ -9,25 +9,25 @@
 namespace standin::load
 {
 
-/*! @brief How goodput came back after an overload. */
+/*! @brief Recovery of goodput after an overload. */
 struct Recovery
 {
-    /*! @brief Mean weighted goodput by second before the overload. */
+    /*! @brief Mean weighted goodput per second before the overload. */
     double baselineGoodput{};
-    /*! @brief Seconds from the end of the overload; nothing if goodput did not come back within the run. */
+    /*! @brief Recovery time in seconds from the end of the overload; empty if goodput did not recover within the run. */
     std::optional<int> seconds;
 
     friend bool operator==(const Recovery &, const Recovery &) = default;
 };
 
 /**
- * @brief Finds the time from the end of overload to the first second from which weighted goodput stays at 95 % of the
- * level before, or above, for three seconds.
+ * @brief Returns the time from the end of an overload until weighted goodput stays at or above 95 % of its baseline for three
+ * consecutive seconds.
  *
- * The level before is the mean over the seconds before the overload without the first two, in which connections open.
+ * The baseline is the mean over the seconds before the overload, excluding the first two, in which connections are opened.
  * @param goodput Weighted goodput by second.
- * @param overload The overload; an empty one gives no recovery.
- * @return The level and the time.
+ * @param overload The overload; an empty one gives no recovery time.
+ * @return The baseline and the recovery time.
  */
 [[nodiscard]] Recovery findRecovery(const std::vector<double> &goodput, const OverloadSpan &overload);
 
--- a/standin/load/request_kind.hpp
+++ b/standin/load/request_kind.hpp
@@ -7,14 +7,15 @@
 namespace standin::load
 {
 
-/*! @brief A request kind of a run, with what its manifest declares of it. */
+/*! @brief Request kind of a run, with its properties from the manifest. */
 struct RequestKind
 {
-    /*! @brief `service/kind`. */
+    /*! @brief Name in the form `service/kind`. */
     std::string name;
+    /*! @brief Weight of a completed request in the weighted goodput. */
     double worth{};
     bool idempotent{};
-    /*! @brief Time that an attempt has. */
+    /*! @brief Timeout of an attempt. */
     std::chrono::milliseconds timeout{};
 
     friend bool operator==(const RequestKind &, const RequestKind &) = default;
--- a/standin/load/result_document.cpp
+++ b/standin/load/result_document.cpp
@@ -155,7 +155,8 @@
     }
     const Recovery recovery = findRecovery(weightedGoodput(run), overload);
     const std::string time = recovery.seconds.has_value() ? fmt::format("{} s", *recovery.seconds) : std::string{"not within the run"};
-    return fmt::format("overload {} to {} s, worth before {:.1f}/s, recovery {}\n", overload.fromSecond, overload.toSecond, recovery.baselineGoodput, time);
+    return fmt::format(
+        "overload {} to {} s, weighted goodput before {:.1f}/s, recovery {}\n", overload.fromSecond, overload.toSecond, recovery.baselineGoodput, time);
 }
 
 [[nodiscard]] static std::string kindLine(const std::string &name, const double worth, const KindResult &result)
@@ -245,7 +246,7 @@
         }
     }
     text += internal::recoveryLine(run);
-    text += fmt::format("sent late by p99 {:.2f} ms, left out {}\n",
+    text += fmt::format("p99 send delay {:.2f} ms, requests not sent {}\n",
                         internal::toMilliseconds(run.result.sendLag.quantile(internal::quantiles.at(2))),
                         run.result.skippedRequests);
     return text;
--- a/standin/load/result_document.hpp
+++ b/standin/load/result_document.hpp
@@ -16,7 +16,7 @@
 namespace standin::load
 {
 
-/*! @brief A finished run. */
+/*! @brief Parameters and merged results of a finished run. */
 struct FinishedRun
 {
     Scenario scenario;
@@ -27,29 +27,29 @@
 };
 
 /**
- * @brief Gives the weighted goodput by second.
+ * @brief Returns the weighted goodput by second.
  * @param run The run.
- * @return Worth of the requests completed in each second of the phases.
+ * @return Sum of the worth of the requests completed in each second of the phases.
  */
 [[nodiscard]] std::vector<double> weightedGoodput(const FinishedRun &run);
 
 /**
- * @brief Writes a run for programs to read.
+ * @brief Formats the results as JSON.
  * @param run The run.
- * @return JSON text; docs/LOAD.md says what each number means.
+ * @return JSON text; docs/LOAD.md describes each member.
  */
 [[nodiscard]] QByteArray toJson(const FinishedRun &run);
 
 /**
- * @brief Writes a run for people to read.
+ * @brief Formats the results as plain text.
  * @param run The run.
- * @return A table by kind, the causes, and the recovery.
+ * @return Table by request kind, followed by the causes and the recovery time.
  */
 [[nodiscard]] std::string toTable(const FinishedRun &run);
 
 /**
- * @brief Writes the attempts of a run, one line of JSON each.
- * @param kinds The kinds of the run.
+ * @brief Formats the attempts of a run as JSON lines, one per attempt.
+ * @param kinds Request kinds of the run.
  * @param history The attempts.
  * @return The lines.
  */
--- a/standin/load/schedule.cpp
+++ b/standin/load/schedule.cpp
@@ -8,7 +8,7 @@
 namespace internal
 {
 
-/*! @brief Deals kinds so that after any number of them each has had its share, to within one request. */
+/*! @brief Smooth weighted round-robin over the kinds: after any number of requests, the count of each kind is within one of its share. */
 class WeightedRoundRobin
 {
 public:
--- a/standin/load/schedule.hpp
+++ b/standin/load/schedule.hpp
@@ -10,13 +10,14 @@
 {
 
 /**
- * @brief Draws the requests of a scenario's mix.
+ * @brief Generates the requests of a scenario.
  *
- * Each second has exactly the rate of its phase, at times drawn evenly, which is a Poisson process with its count held;
- * the kinds of a second stand in their shares and in random order. So the offered worth is the same each second.
+ * Each second has exactly as many requests as the rate of its phase, at uniformly distributed times: a Poisson process
+ * conditioned on its count. The kinds of a second have their shares and are in random order, so the offered worth is the same
+ * in each second of a phase.
  * @param scenario The scenario; its kinds are those of the run, in the same order.
- * @param random Source of the times, orders and cancels.
- * @return The requests, earliest first.
+ * @param random Source of the send times, the order of kinds and the cancellations.
+ * @return The requests, sorted by time.
  */
 [[nodiscard]] Schedule makeSchedule(const Scenario &scenario, egretlatch::RandomSource &random);
 
--- a/standin/platform_server.cpp
+++ b/standin/platform_server.cpp
@@ -140,7 +140,7 @@
     const bool isWrite = store::isWrite(request);
     ++(isWrite ? m_writes : m_reads);
     if (m_behaviour.isDown) {
-        return tl::unexpected{Error{ErrorCode::unavailable, "told to be down"}};
+        return tl::unexpected{Error{ErrorCode::unavailable, "the simulated platform is down"}};
     }
     if (!(isWrite ? m_writeCap : m_readCap).tryTake(std::chrono::steady_clock::now())) {
         ++m_rateLimited;
--- a/standin/platform_server.hpp
+++ b/standin/platform_server.hpp
@@ -19,37 +19,38 @@
 namespace standin
 {
 
-/*! @brief What a platform stand-in is told on its command line. */
+/*! @brief Command line options of the simulated platform. */
 struct PlatformOptions
 {
     std::uint16_t port{};
-    /*! @brief File with the bearer token that it asks for; empty for none. */
+    /*! @brief Path of a file with the required bearer token; empty for no authentication. */
     std::string tokenFile;
     std::uint64_t seed{1};
 };
 
-/*! @brief How a platform stand-in misbehaves; set by `POST /control`. */
+/*! @brief Injected faults and rate limits of the simulated platform; set by `POST /control`. */
 struct PlatformBehaviour
 {
+    /*! @brief Delay before each answer; the request itself is applied at once. */
     std::chrono::milliseconds latency{0};
-    /*! @brief Answers 503 and does nothing. */
+    /*! @brief Rejects every store request with status 503 without applying it. */
     bool isDown{};
-    /*! @brief Never answers and does nothing. */
+    /*! @brief Leaves every store request unanswered without applying it. */
     bool hangs{};
-    /*! @brief Share of the writes that take effect and whose answer is lost. */
+    /*! @brief Fraction of the successful writes whose connection is aborted instead of answered; the write stays applied. */
     double loseAnswerShare{};
     double readsPerSecond{2000.0};
     double writesPerSecond{400.0};
 };
 
-/*! @brief The platform's table and object store over HTTP. */
+/*! @brief HTTP server that simulates the platform's table and object store. */
 class PlatformServer final : public QAbstractHttpServer
 {
 public:
     /**
-     * @brief Builds a server that does not listen yet.
-     * @param token Bearer token that it asks for; empty for none.
-     * @param seed Seed of its random choices.
+     * @brief Constructs a server that is not listening yet.
+     * @param token Required bearer token; empty for no authentication.
+     * @param seed Seed for the choice of the answers that are lost.
      */
     PlatformServer(egretlatch::Secret token, std::uint64_t seed);
 
@@ -76,11 +77,11 @@
 };
 
 /**
- * @brief Runs a platform stand-in until it is killed.
- * @param options What it is told.
- * @param argc Count of the program's arguments.
- * @param argv The program's arguments.
- * @return Exit code.
+ * @brief Runs the simulated platform until the process is killed.
+ * @param options Command line options.
+ * @param argc Number of program arguments.
+ * @param argv Program arguments.
+ * @return Exit code: failure if the token cannot be read or the port is not available.
  */
 [[nodiscard]] int runPlatform(const PlatformOptions &options, int argc, char **argv);
 
--- a/standin/platform_store.hpp
+++ b/standin/platform_store.hpp
@@ -10,14 +10,14 @@
 namespace standin
 {
 
-/*! @brief A transactional table and an object store in memory. */
+/*! @brief In-memory transactional table and object store. */
 class PlatformStore
 {
 public:
     /**
-     * @brief Carries out a request.
+     * @brief Applies a request atomically.
      * @param request The request.
-     * @return The reply; `conflict` and `notFound` as the interface says.
+     * @return The reply, or the error `conflict` if a condition of a write does not hold and `notFound` for an unknown object.
      */
     [[nodiscard]] egretlatch::store::Outcome apply(const egretlatch::store::Request &request);
 
--- a/test/fakes/counting_metrics.hpp
+++ b/test/fakes/counting_metrics.hpp
@@ -10,7 +10,7 @@
 namespace fakes
 {
 
-/*! @brief Keeps counters for tests to read, and forgets the rest. */
+/*! @brief Metrics sink that records counters for tests and discards all other metrics. */
 class CountingMetrics final : public egretlatch::account::MetricsSink
 {
 public:
@@ -28,9 +28,9 @@
     }
 
     /**
-     * @brief Reads a counter.
-     * @param nameAndLabel Name and label with a slash between.
-     * @return How often it was counted.
+     * @brief Returns the value of a counter.
+     * @param nameAndLabel Name and label, separated by a slash.
+     * @return The value; zero if the counter was never incremented.
      */
     [[nodiscard]] std::uint64_t value(const std::string &nameAndLabel) const
     {
--- a/test/fakes/event_loop.hpp
+++ b/test/fakes/event_loop.hpp
@@ -9,7 +9,7 @@
 namespace fakes
 {
 
-/*! @brief Makes sure that there is an application, which anything that watches sockets by Qt needs before it is built. */
+/*! @brief Creates the application object on the first call; objects that watch sockets through Qt need it before their construction. */
 inline void ensureApplication()
 {
     static int argc = 1;
@@ -19,9 +19,9 @@
 }
 
 /**
- * @brief Runs Qt's events on the test's thread until something holds.
- * @param condition What is waited for.
- * @return False if it did not come to hold within ten seconds, which only a fault takes.
+ * @brief Processes Qt events on the calling thread until a condition holds.
+ * @param condition Condition to wait for.
+ * @return False if the condition did not hold within ten seconds, which only happens in case of a fault.
  */
 [[nodiscard]] inline bool runUntil(const std::function<bool()> &condition)
 {
--- a/test/fakes/fake_platform_port.hpp
+++ b/test/fakes/fake_platform_port.hpp
@@ -11,25 +11,26 @@
 namespace fakes
 {
 
-/*! @brief What becomes of one request to a fake platform. */
+/*! @brief Outcome of one request to a fake platform. */
 enum class ScriptedOutcome {
+    /*! @brief Applied and answered. */
     answered,
-    /*! @brief Carried out; the answer is lost. */
+    /*! @brief Applied, but the answer is lost. */
     answerLost,
-    /*! @brief Lost on the way. */
+    /*! @brief Lost before it reached the platform, and not applied. */
     requestLost,
-    /*! @brief Refused with 503. */
+    /*! @brief Refused with status 503, and not applied. */
     down,
 };
 
-/*! @brief A platform in memory whose failures are told in advance; waits take no time. */
+/*! @brief In-memory platform with scripted failures; waits return immediately. */
 class FakePlatformPort final : public egretlatch::cli::PlatformPort
 {
 public:
     /**
-     * @brief Builds a port.
-     * @param store The platform's state; must outlive the port.
-     * @param outcomes What becomes of the first requests; later ones are answered.
+     * @brief Constructs a port.
+     * @param store State of the platform; must outlive the port.
+     * @param outcomes Outcomes of the first requests, in order; later requests are answered.
      */
     explicit FakePlatformPort(standin::PlatformStore &store, std::deque<ScriptedOutcome> outcomes = {})
         : m_store{store}
@@ -65,7 +66,7 @@
     {
     }
 
-    /*! @brief Called before each request, so that a test can let others act in between. */
+    /*! @brief Callback before each request, with which a test can interleave requests of other clients. */
     std::function<void(const egretlatch::store::Request &)> onAsk;
 
 private:
--- a/test/fakes/golden_file.hpp
+++ b/test/fakes/golden_file.hpp
@@ -12,18 +12,19 @@
 {
 
 /**
- * @brief Compares a text with a file of test/golden, byte for byte.
+ * @brief Checks that a text equals a file in test/golden, byte for byte.
  *
- * With EGRETLATCH_WRITE_GOLDEN set, the file is written anew and the check fails, so that no run passes by writing.
+ * If EGRETLATCH_WRITE_GOLDEN is set, the file is overwritten with the text and the check fails, so that no test passes by
+ * updating its golden file.
  * @param name Name of the file.
- * @param text The text.
+ * @param text Text to compare.
  */
 inline void checkGolden(const std::string &name, const std::string &text)
 {
     const std::string path = std::string{EGRETLATCH_GOLDEN_FOLDER} + "/" + name;
     if (std::getenv("EGRETLATCH_WRITE_GOLDEN") != nullptr) {
         std::ofstream{path, std::ios::binary} << text;
-        FAIL_CHECK("written anew: ", path);
+        FAIL_CHECK("golden file updated: ", path);
         return;
     }
     std::ifstream file{path, std::ios::binary};
--- a/test/fakes/in_memory_table.hpp
+++ b/test/fakes/in_memory_table.hpp
@@ -11,14 +11,14 @@
 namespace fakes
 {
 
-/*! @brief The platform's table, in memory: conditional writes of several rows, all or none. */
+/*! @brief In-memory table of the platform with atomic conditional writes of several rows. */
 class InMemoryTable
 {
 public:
     /**
-     * @brief Carries a request out.
-     * @param request A read, a scan or a write of the table; objects are not kept.
-     * @return What the platform answers if nothing fails.
+     * @brief Applies a request.
+     * @param request Read, scan or write of the table; requests for objects fail with `notFound`.
+     * @return The answer of a platform without failures.
      */
     [[nodiscard]] egretlatch::store::Outcome ask(const egretlatch::store::Request &request)
     {
@@ -32,10 +32,10 @@
         if (const auto *const write = std::get_if<TableWrite>(&request)) {
             return applyWrite(*write);
         }
-        return tl::unexpected{egretlatch::Error{egretlatch::ErrorCode::notFound, "no objects are kept"}};
+        return tl::unexpected{egretlatch::Error{egretlatch::ErrorCode::notFound, "the table stores no objects"}};
     }
 
-    /*! @brief Writes that took effect. */
+    /*! @brief Returns the number of writes that were applied. */
     [[nodiscard]] int writes() const noexcept
     {
         return m_writes;
--- a/test/fakes/manual_clock.hpp
+++ b/test/fakes/manual_clock.hpp
@@ -6,7 +6,7 @@
 namespace fakes
 {
 
-/*! @brief A clock that stands still until it is told to go on. */
+/*! @brief Clock that only advances when a test calls advance(). */
 class ManualClock final : public egretlatch::Clock
 {
 public:
@@ -21,8 +21,8 @@
     }
 
     /**
-     * @brief Moves both times.
-     * @param span How far.
+     * @brief Advances the steady time and the wall time.
+     * @param span Duration to advance by.
      */
     void advance(const egretlatch::Duration span)
     {
--- a/test/standin/load/attempt_outcome.cpp
+++ b/test/standin/load/attempt_outcome.cpp
@@ -7,7 +7,7 @@
 using standin::load::OutcomeClass;
 using standin::load::TransportResult;
 
-TEST_CASE("attempt outcome: only the whole answer to the request itself completes it")
+TEST_CASE("attempt outcome: only an answer that echoes the request body without an error status is completed")
 {
     HttpReply reply{
         .transport = TransportResult::answered, .status = 200, .verdict = "completed", .nextKey = {}, .retryAfter = {}, .body = "mine", .isKeepAlive = true};
@@ -18,7 +18,7 @@
     CHECK(classifyReply(reply, "mine").cause == "status-500");
 }
 
-TEST_CASE("attempt outcome: a refusal is named by the system's reason and its verdict")
+TEST_CASE("attempt outcome: a refusal is classified by its verdict and has the reason as its cause")
 {
     HttpReply reply{.transport = TransportResult::answered,
                     .status = 429,
@@ -35,7 +35,7 @@
     CHECK(classifyReply(reply, "").cause == "no-verdict-status-429");
 }
 
-TEST_CASE("attempt outcome: without an answer nothing is known")
+TEST_CASE("attempt outcome: an attempt that timed out has failed with no-answer")
 {
     HttpReply reply;
     reply.transport = TransportResult::timedOut;
--- a/test/standin/load/latency_histogram.cpp
+++ b/test/standin/load/latency_histogram.cpp
@@ -8,7 +8,7 @@
 
 using standin::load::LatencyHistogram;
 
-TEST_CASE("latency histogram: a quantile is never below the true one and at most one bucket above")
+TEST_CASE("latency histogram: a quantile is never below the exact value and at most one bucket width above it")
 {
     CHECK(rc::check([](std::vector<std::uint32_t> microseconds) {
         RC_PRE(!microseconds.empty());
@@ -25,7 +25,7 @@
     }));
 }
 
-TEST_CASE("latency histogram: two added are as one that took all")
+TEST_CASE("latency histogram: adding a histogram gives the count and quantiles of all durations")
 {
     LatencyHistogram first;
     LatencyHistogram second;
@@ -37,7 +37,7 @@
     CHECK(first.quantile(1.0) == std::chrono::seconds{2});
 }
 
-TEST_CASE("latency histogram: an empty one gives zero")
+TEST_CASE("latency histogram: the quantiles of an empty histogram are zero")
 {
     CHECK(LatencyHistogram{}.quantile(0.99) == std::chrono::seconds{0});
 }
--- a/test/standin/load/scenario.cpp
+++ b/test/standin/load/scenario.cpp
@@ -7,14 +7,14 @@
 
 using standin::load::parseScenario;
 
-TEST_CASE("scenario: every problem is found in one pass")
+TEST_CASE("scenario: all problems of a document are reported at once")
 {
     const auto scenario = parseScenario(R"({"name": "x", "kinds": [{"service": "a"}], "phases": [], "typo": 1})");
     REQUIRE_FALSE(scenario.has_value());
     CHECK(scenario.error().size() == 3);
 }
 
-TEST_CASE("scenario: all committed scenarios can be read")
+TEST_CASE("scenario: all committed scenarios are valid")
 {
     const QDir folder{QStringLiteral(EGRETLATCH_SOURCE_FOLDER "/scenarios")};
     const QStringList names = folder.entryList({QStringLiteral("*.json")});
--- a/test/standin/load/schedule.cpp
+++ b/test/standin/load/schedule.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("schedule: each second has the rate of its phase, and the kinds their shares")
+TEST_CASE("schedule: each second has the rate of its phase and the declared shares of kinds")
 {
     const Schedule schedule = scheduleOf(twoKinds());
     REQUIRE(schedule.size() == 600);
@@ -46,12 +46,12 @@
     }));
 }
 
-TEST_CASE("schedule: the same seed gives the same requests")
+TEST_CASE("schedule: the same seed generates the same requests")
 {
     CHECK(scheduleOf(twoKinds()) == scheduleOf(twoKinds()));
 }
 
-TEST_CASE("schedule: single requests come on top of the mix")
+TEST_CASE("schedule: single requests are added to the mix")
 {
     Scenario scenario = twoKinds();
     scenario.singles = {{.at = std::chrono::milliseconds{500}, .service = "a", .kind = "y", .body = "poison", .count = 2}};
