--- a/src/egretlatch/admission/adaptive_gate.cpp
+++ b/src/egretlatch/admission/adaptive_gate.cpp
@@ -230,7 +230,7 @@
 
 Duration AdaptiveGate::aimedDrainTime() const
 {
-    return std::max<Duration>({m_queueTarget, m_meanHeld / internal::shortestQueueDivisor, m_rules.shortestQueue});
+    return std::max<Duration>({m_queueTarget, m_meanHeld / internal::shortestQueueDivisor, m_rules.minDrainTarget});
 }
 
 Duration AdaptiveGate::longestDrainTime(const Ticket &ticket) const
@@ -242,9 +242,9 @@
 {
     m_meanHeld += (observation.latency - m_meanHeld) / internal::samplesInMeanHeld;
     if (observation.outcome == RunOutcome::succeeded) {
-        m_estimator.noteEnded(running.kind, observation.latency, now);
+        m_estimator.noteCompleted(running.kind, observation.latency, now);
     } else if (observation.outcome == RunOutcome::abandoned) {
-        m_estimator.noteCutShort(running.kind, observation.latency, now);
+        m_estimator.noteAbandoned(running.kind, observation.latency, now);
     }
     m_limit.note(
         {
--- a/src/egretlatch/admission/adaptive_gate.hpp
+++ b/src/egretlatch/admission/adaptive_gate.hpp
@@ -3,12 +3,12 @@
 
 #include <map>
 
+#include <egretlatch/admission/admission_queue.hpp>
 #include <egretlatch/admission/concurrency_limit.hpp>
 #include <egretlatch/admission/gate.hpp>
 #include <egretlatch/admission/gate_rules.hpp>
 #include <egretlatch/admission/level_control.hpp>
 #include <egretlatch/admission/run_estimator.hpp>
-#include <egretlatch/admission/waiting_line.hpp>
 
 namespace egretlatch::admission
 {
@@ -64,7 +64,7 @@
     ConcurrencyLimit m_limit;
     LevelControl m_level;
     RunEstimator m_estimator;
-    WaitingLine m_waiting;
+    AdmissionQueue m_waiting;
     std::map<ExecutionId, Running> m_running;
 };
 
--- a/src/egretlatch/admission/waiting_line.cpp
+++ b/src/egretlatch/admission/admission_queue.cpp
@@ -1,11 +1,11 @@
-#include <egretlatch/admission/waiting_line.hpp>
+#include <egretlatch/admission/admission_queue.hpp>
 
 #include <bit>
 
 namespace egretlatch::admission
 {
 
-WaitingLine::Group WaitingLine::groupOf(const Ticket &ticket)
+AdmissionQueue::Group AdmissionQueue::groupOf(const Ticket &ticket)
 {
     if (!ticket.isInner) {
         return {.rankClass = ticket.rankClass, .invested = 0};
@@ -15,7 +15,7 @@
     return {.rankClass = ticket.rankClass, .invested = 1 + static_cast<int>(std::bit_width(static_cast<std::uint64_t>(std::max<std::int64_t>(invested, 0))))};
 }
 
-void WaitingLine::push(Waiting waiting)
+void AdmissionQueue::push(Waiting waiting)
 {
     const Group group = groupOf(waiting.ticket);
     const ExecutionId execution = waiting.ticket.execution;
@@ -25,18 +25,18 @@
     m_places.emplace(execution, Place{.group = group, .position = std::prev(queue.end())});
 }
 
-Waiting WaitingLine::popBest(const bool newestFirst)
+Waiting AdmissionQueue::popBest(const bool newestFirst)
 {
     const auto group = m_groups.begin();
     return take(group, newestFirst ? std::prev(group->second.end()) : group->second.begin());
 }
 
-const Waiting &WaitingLine::worst() const
+const Waiting &AdmissionQueue::worst() const
 {
     return m_groups.rbegin()->second.front();
 }
 
-const Waiting *WaitingLine::worstRoot() const
+const Waiting *AdmissionQueue::worstRoot() const
 {
     for (auto group = m_groups.rbegin(); group != m_groups.rend(); ++group) {
         if (group->first.invested == 0) {
@@ -46,7 +46,7 @@
     return nullptr;
 }
 
-Duration WaitingLine::workUpTo(const Ticket &ticket) const
+Duration AdmissionQueue::workUpTo(const Ticket &ticket) const
 {
     const auto last = m_groups.find(groupOf(ticket));
     Duration work{};
@@ -61,7 +61,7 @@
     return work;
 }
 
-bool WaitingLine::remove(const ExecutionId execution)
+bool AdmissionQueue::remove(const ExecutionId execution)
 {
     const auto found = m_places.find(execution);
     if (found == m_places.end()) {
@@ -72,7 +72,7 @@
     return true;
 }
 
-Duration WaitingLine::workAbove(const RankClass &rankClass) const
+Duration AdmissionQueue::workAbove(const RankClass &rankClass) const
 {
     Duration work{};
     for (const auto &[group, queue] : m_groups) {
@@ -86,7 +86,7 @@
     return work;
 }
 
-SteadyTime WaitingLine::oldestArrival(const SteadyTime now) const
+SteadyTime AdmissionQueue::oldestArrival(const SteadyTime now) const
 {
     SteadyTime oldest = now;
     for (const auto &[group, queue] : m_groups) {
@@ -95,7 +95,7 @@
     return oldest;
 }
 
-Waiting WaitingLine::take(const Groups::iterator group, const Queue::iterator position)
+Waiting AdmissionQueue::take(const Groups::iterator group, const Queue::iterator position)
 {
     Waiting taken = std::move(*position);
     group->second.erase(position);
--- a/src/egretlatch/admission/waiting_line.hpp
+++ b/src/egretlatch/admission/admission_queue.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_ADMISSION_WAITING_LINE_HPP
-#define EGRETLATCH_ADMISSION_WAITING_LINE_HPP
+#ifndef EGRETLATCH_ADMISSION_ADMISSION_QUEUE_HPP
+#define EGRETLATCH_ADMISSION_ADMISSION_QUEUE_HPP
 
 #include <compare>
 #include <cstddef>
@@ -26,7 +26,7 @@
  * The order is: class of the root, then work invested, so that an inner call goes before a new root of its class, then
  * time of arrival.
  */
-class WaitingLine
+class AdmissionQueue
 {
 public:
     /**
@@ -136,7 +136,7 @@
 };
 
 template<typename Rule>
-std::vector<Waiting> WaitingLine::removeIf(Rule rule)
+std::vector<Waiting> AdmissionQueue::removeIf(Rule rule)
 {
     std::vector<Waiting> removed;
     for (auto group = m_groups.begin(); group != m_groups.end();) {
--- a/src/egretlatch/admission/chain_costs.cpp
+++ b/src/egretlatch/admission/chain_costs.cpp
@@ -53,14 +53,14 @@
     return found == m_chains.end() ? Duration{} : found->second.held;
 }
 
-const ChainStops &ChainCosts::stops(const std::string &service, const std::string &kind) const
+const SlotTimeByService &ChainCosts::stops(const std::string &service, const std::string &kind) const
 {
-    static const ChainStops none;
+    static const SlotTimeByService none;
     const auto found = m_chains.find({service, kind});
     return found == m_chains.end() ? none : found->second.stops;
 }
 
-const std::set<std::string> &ChainCosts::servicesBelow(const std::string &service) const
+const std::set<std::string> &ChainCosts::downstreamServices(const std::string &service) const
 {
     static const std::set<std::string> none;
     const auto found = m_below.find(service);
--- a/src/egretlatch/admission/chain_costs.hpp
+++ b/src/egretlatch/admission/chain_costs.hpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <string>
 
-#include <egretlatch/admission/chain_stops.hpp>
+#include <egretlatch/admission/slot_time_by_service.hpp>
 #include <egretlatch/manifest/manifest.hpp>
 
 namespace egretlatch::admission
@@ -39,20 +39,20 @@
      * @param kind Name of the kind.
      * @return Its own service and those down its chain.
      */
-    [[nodiscard]] const ChainStops &stops(const std::string &service, const std::string &kind) const;
+    [[nodiscard]] const SlotTimeByService &stops(const std::string &service, const std::string &kind) const;
 
     /**
      * @brief Gives the services that any kind of a service reaches, its own left out.
      * @param service Name of the service.
      * @return Names of the services.
      */
-    [[nodiscard]] const std::set<std::string> &servicesBelow(const std::string &service) const;
+    [[nodiscard]] const std::set<std::string> &downstreamServices(const std::string &service) const;
 
 private:
     struct Chain
     {
         Duration held{};
-        ChainStops stops;
+        SlotTimeByService stops;
     };
 
     const Chain &chainOf(const manifest::Manifest &manifest, const KindName &name, std::set<KindName> &open);
--- a/src/egretlatch/admission/crash_suspects.cpp
+++ b/src/egretlatch/admission/crash_suspects.cpp
@@ -43,14 +43,14 @@
     }
 }
 
-bool CrashSuspects::noteGood(const RequestFingerprint request)
+bool CrashSuspects::noteSuccess(const RequestFingerprint request)
 {
     return m_suspects.erase(request) > 0;
 }
 
-void CrashSuspects::noteGoodElsewhere(const RequestFingerprint request, const SteadyTime now)
+void CrashSuspects::noteRemoteSuccess(const RequestFingerprint request, const SteadyTime now)
 {
-    static_cast<void>(noteGood(request));
+    static_cast<void>(noteSuccess(request));
     forgetOld(now);
     if (m_goodElsewhere.size() < internal::mostSuspects) {
         m_goodElsewhere.insert_or_assign(request, now);
@@ -60,7 +60,7 @@
 int CrashSuspects::crashes(const RequestFingerprint request, const SteadyTime now) const
 {
     const auto found = m_suspects.find(request);
-    const bool isOld = found != m_suspects.end() && now - found->second.last >= crashLife;
+    const bool isOld = found != m_suspects.end() && now - found->second.last >= crashLifetime;
     return found == m_suspects.end() || isOld ? 0 : static_cast<int>(found->second.crashes.size());
 }
 
@@ -72,10 +72,10 @@
 void CrashSuspects::forgetOld(const SteadyTime now)
 {
     std::erase_if(m_suspects, [now](const auto &item) {
-        return now - item.second.last >= crashLife;
+        return now - item.second.last >= crashLifetime;
     });
     std::erase_if(m_goodElsewhere, [now](const auto &item) {
-        return now - item.second >= goodLife;
+        return now - item.second >= successLifetime;
     });
 }
 
--- a/src/egretlatch/admission/crash_suspects.hpp
+++ b/src/egretlatch/admission/crash_suspects.hpp
@@ -49,17 +49,17 @@
      * @param request The request.
      * @return True if it was suspect, which others should then hear of.
      */
-    bool noteGood(RequestFingerprint request);
+    bool noteSuccess(RequestFingerprint request);
 
     /**
      * @brief Takes another daemon's word that a suspect request ran well.
      *
      * It may come before the news of the crash that made the request suspect, so it also holds for crashes told of within
-     * `goodLife`; a request that crashes each server that runs it is never told of so.
+     * `successLifetime`; a request that crashes each server that runs it is never told of so.
      * @param request The request.
      * @param now Current time.
      */
-    void noteGoodElsewhere(RequestFingerprint request, SteadyTime now);
+    void noteRemoteSuccess(RequestFingerprint request, SteadyTime now);
 
     /**
      * @brief Counts the crashes that a request was there at.
@@ -83,9 +83,9 @@
     }
 
     /*! @brief How long a crash counts; a request that is fixed runs again then. */
-    static constexpr std::chrono::minutes crashLife{5};
+    static constexpr std::chrono::minutes crashLifetime{5};
     /*! @brief How long the word of a good run holds for crashes told of after it. */
-    static constexpr std::chrono::seconds goodLife{10};
+    static constexpr std::chrono::seconds successLifetime{10};
 
 private:
     struct Suspect
--- a/src/egretlatch/admission/entry_control.hpp
+++ b/src/egretlatch/admission/entry_control.hpp
@@ -9,8 +9,8 @@
 #include <egretlatch/account/refusal.hpp>
 #include <egretlatch/admission/learned_chains.hpp>
 #include <egretlatch/admission/load_report.hpp>
-#include <egretlatch/admission/noted_level.hpp>
 #include <egretlatch/admission/rank.hpp>
+#include <egretlatch/admission/reported_level.hpp>
 #include <egretlatch/admission/root_costs.hpp>
 #include <egretlatch/core/clock.hpp>
 #include <egretlatch/core/ids.hpp>
@@ -43,22 +43,22 @@
 };
 
 /*! @brief What a serving daemon told of its own backend server. */
-struct ServerNews
+struct ServerLoadReport
 {
     std::string service;
     DaemonId daemon;
     LoadReport load;
 
-    friend bool operator==(const ServerNews &, const ServerNews &) = default;
+    friend bool operator==(const ServerLoadReport &, const ServerLoadReport &) = default;
 };
 
 /*! @brief What is known of a service as a whole. */
-struct ServiceNews
+struct ServiceLevelReport
 {
     std::string service;
-    NotedLevel noted;
+    ReportedLevel reported;
 
-    friend bool operator==(const ServiceNews &, const ServiceNews &) = default;
+    friend bool operator==(const ServiceLevelReport &, const ServiceLevelReport &) = default;
 };
 
 /*! @brief A run that ended well, and the calls that it made. */
@@ -116,13 +116,13 @@
      * @param news What it told.
      * @param now Current time.
      */
-    virtual void noteLoad(const ServerNews &news, SteadyTime now) = 0;
+    virtual void noteLoad(const ServerLoadReport &news, SteadyTime now) = 0;
 
     /**
      * @brief Notes what a daemon passed on of a service further down.
      * @param news What it told.
      */
-    virtual void noteLevel(const ServiceNews &news) = 0;
+    virtual void noteLevel(const ServiceLevelReport &news) = 0;
 
     /**
      * @brief Gives what is to be passed on of the services further down.
@@ -130,7 +130,7 @@
      * @param now Current time.
      * @return What has been told lately.
      */
-    [[nodiscard]] virtual std::vector<ServiceNews> levelsBelow(const std::string &service, SteadyTime now) = 0;
+    [[nodiscard]] virtual std::vector<ServiceLevelReport> downstreamLevels(const std::string &service, SteadyTime now) = 0;
 
     /**
      * @brief Notes a run that ended well at the backend server here, with the calls that it made.
@@ -145,7 +145,7 @@
      * @param kind The kind.
      * @param stops Its chain.
      */
-    virtual void noteChain(const KindName & /*kind*/, const ChainStops & /*stops*/)
+    virtual void noteChain(const KindName & /*kind*/, const SlotTimeByService & /*stops*/)
     {
     }
 
@@ -153,7 +153,7 @@
      * @brief Gives the chain of a kind that is served here, for those who call it.
      * @return Empty if nothing is known, or nobody asks.
      */
-    [[nodiscard]] virtual ChainStops learnedChain(const KindName & /*kind*/) const
+    [[nodiscard]] virtual SlotTimeByService learnedChain(const KindName & /*kind*/) const
     {
         return {};
     }
--- a/src/egretlatch/admission/gate_rules.hpp
+++ b/src/egretlatch/admission/gate_rules.hpp
@@ -21,7 +21,7 @@
      */
     bool keepsInnerCalls{};
     /*! @brief Time that a queue may take to drain, whatever is declared and however short the runs are. */
-    std::chrono::milliseconds shortestQueue{0};
+    std::chrono::milliseconds minDrainTarget{0};
     LevelTimes level;
 
     friend bool operator==(const GateRules &, const GateRules &) = default;
--- a/src/egretlatch/admission/learned_chains.cpp
+++ b/src/egretlatch/admission/learned_chains.cpp
@@ -43,7 +43,7 @@
     });
 }
 
-void LearnedChains::noteChain(const KindName &kind, const ChainStops &stops)
+void LearnedChains::noteChain(const KindName &kind, const SlotTimeByService &stops)
 {
     if (stops.empty()) {
         return;
@@ -64,19 +64,19 @@
     });
 }
 
-ChainStops LearnedChains::chain(const KindName &kind) const
+SlotTimeByService LearnedChains::chain(const KindName &kind) const
 {
     const auto seen = m_seen.find(kind);
     if (seen != m_seen.end()) {
         return chainOfSeen(kind, seen->second);
     }
     const auto told = m_told.find(kind);
-    return told == m_told.end() ? ChainStops{} : told->second.stops;
+    return told == m_told.end() ? SlotTimeByService{} : told->second.stops;
 }
 
-ChainStops LearnedChains::chainOfSeen(const KindName &kind, const Seen &seen) const
+SlotTimeByService LearnedChains::chainOfSeen(const KindName &kind, const Seen &seen) const
 {
-    ChainStops stops;
+    SlotTimeByService stops;
     stops[kind.first] = seen.held;
     for (const auto &[callee, count] : seen.calls) {
         const auto told = m_told.find(callee);
@@ -91,7 +91,7 @@
     return stops;
 }
 
-std::set<std::string> LearnedChains::servicesBelow(const std::string &service) const
+std::set<std::string> LearnedChains::downstreamServices(const std::string &service) const
 {
     std::set<std::string> below;
     for (const auto &[kind, seen] : m_seen) {
--- a/src/egretlatch/admission/learned_chains.hpp
+++ b/src/egretlatch/admission/learned_chains.hpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <string>
 
-#include <egretlatch/admission/chain_stops.hpp>
+#include <egretlatch/admission/slot_time_by_service.hpp>
 
 namespace egretlatch::admission
 {
@@ -32,21 +32,21 @@
      * @param kind The kind.
      * @param stops Its whole chain; an empty one says nothing.
      */
-    void noteChain(const KindName &kind, const ChainStops &stops);
+    void noteChain(const KindName &kind, const SlotTimeByService &stops);
 
     /**
      * @brief Gives the chain of a kind.
      * @param kind The kind.
      * @return What is known; empty for a kind of which nothing is.
      */
-    [[nodiscard]] ChainStops chain(const KindName &kind) const;
+    [[nodiscard]] SlotTimeByService chain(const KindName &kind) const;
 
     /**
      * @brief Gives the services that any kind of a service reaches, its own left out.
      * @param service Name of the service.
      * @return Names of the services.
      */
-    [[nodiscard]] std::set<std::string> servicesBelow(const std::string &service) const;
+    [[nodiscard]] std::set<std::string> downstreamServices(const std::string &service) const;
 
 private:
     struct Seen
@@ -58,11 +58,11 @@
 
     struct Told
     {
-        ChainStops stops;
+        SlotTimeByService stops;
         int tellings{};
     };
 
-    [[nodiscard]] ChainStops chainOfSeen(const KindName &kind, const Seen &seen) const;
+    [[nodiscard]] SlotTimeByService chainOfSeen(const KindName &kind, const Seen &seen) const;
 
     /*! @brief Kinds that ran here. */
     std::map<KindName, Seen> m_seen;
--- a/src/egretlatch/admission/level_control.cpp
+++ b/src/egretlatch/admission/level_control.cpp
@@ -89,12 +89,12 @@
 
 Duration LevelControl::stepInterval() const
 {
-    return std::clamp<Duration>(m_underWay + m_underWay / 2, m_times.shortestStep, m_times.longestStep);
+    return std::clamp<Duration>(m_underWay + m_underWay / 2, m_times.minStepInterval, m_times.maxStepInterval);
 }
 
-void LevelControl::update(const Pressure &pressure, const SteadyTime now)
+void LevelControl::update(const QueueState &pressure, const SteadyTime now)
 {
-    if (now - m_lastStep < m_times.shortestStep) {
+    if (now - m_lastStep < m_times.minStepInterval) {
         return;
     }
     m_lastStep = now;
@@ -126,7 +126,7 @@
     }
 }
 
-double LevelControl::roomInClass(const Pressure &pressure, const SteadyTime now)
+double LevelControl::roomInClass(const QueueState &pressure, const SteadyTime now)
 {
     const auto found = m_demand.find(m_level.rankClass());
     const double room = pressure.limit - admittedDemand(now);
@@ -136,7 +136,7 @@
     return std::max(internal::firstOpening, internal::usedRoom * room / found->second.rate);
 }
 
-void LevelControl::raise(double excess, const Pressure &pressure, const SteadyTime now)
+void LevelControl::raise(double excess, const QueueState &pressure, const SteadyTime now)
 {
     for (auto &[rankClass, demand] : m_demand) {
         if (rankClass < m_level.rankClass() || demand.rate <= 0.0) {
--- a/src/egretlatch/admission/level_control.hpp
+++ b/src/egretlatch/admission/level_control.hpp
@@ -4,18 +4,18 @@
 #include <algorithm>
 #include <map>
 
+#include <egretlatch/admission/admission_queue.hpp>
 #include <egretlatch/admission/level_times.hpp>
 #include <egretlatch/admission/rank.hpp>
-#include <egretlatch/admission/waiting_line.hpp>
 #include <egretlatch/core/clock.hpp>
 
 namespace egretlatch::admission
 {
 
 /*! @brief What a gate sees of its load at one moment. */
-struct Pressure
+struct QueueState
 {
-    const WaitingLine &line;
+    const AdmissionQueue &line;
     /*! @brief Time in which the line should drain. */
     Duration target{};
     /*! @brief Requests run at a time. */
@@ -75,7 +75,7 @@
      * @param pressure What the gate sees.
      * @param now Current time.
      */
-    void update(const Pressure &pressure, SteadyTime now);
+    void update(const QueueState &pressure, SteadyTime now);
 
     [[nodiscard]] const Level &level() const noexcept
     {
@@ -109,8 +109,8 @@
     void decay(Demand &demand, SteadyTime now) const;
     [[nodiscard]] double rateAt(const Demand &demand, SteadyTime now) const;
     [[nodiscard]] Duration stepInterval() const;
-    [[nodiscard]] double roomInClass(const Pressure &pressure, SteadyTime now);
-    void raise(double excess, const Pressure &pressure, SteadyTime now);
+    [[nodiscard]] double roomInClass(const QueueState &pressure, SteadyTime now);
+    void raise(double excess, const QueueState &pressure, SteadyTime now);
     void lower(double factor);
     void forgetIdle(SteadyTime now);
 
--- a/src/egretlatch/admission/level_notes.cpp
+++ b/src/egretlatch/admission/level_reports.cpp
@@ -1,4 +1,4 @@
-#include <egretlatch/admission/level_notes.hpp>
+#include <egretlatch/admission/level_reports.hpp>
 
 #include <algorithm>
 #include <vector>
@@ -16,12 +16,12 @@
 
 } // namespace internal
 
-void LevelNotes::note(const DaemonId &daemon, const NotedLevel &level)
+void LevelReports::note(const DaemonId &daemon, const ReportedLevel &level)
 {
     m_notes[daemon] = level;
 }
 
-NotedLevel LevelNotes::aggregate(const SteadyTime now)
+ReportedLevel LevelReports::aggregate(const SteadyTime now)
 {
     if (now - m_aggregatedAt < internal::aggregateInterval) {
         return m_aggregate;
@@ -34,14 +34,14 @@
     if (m_notes.empty()) {
         return m_aggregate;
     }
-    for (const auto &[daemon, noted] : m_notes) {
-        m_aggregate.at = std::max(m_aggregate.at, noted.at);
+    for (const auto &[daemon, reported] : m_notes) {
+        m_aggregate.at = std::max(m_aggregate.at, reported.at);
     }
     std::vector<Level> levels;
-    for (const auto &[daemon, noted] : m_notes) {
+    for (const auto &[daemon, reported] : m_notes) {
         // A server that told nothing while its peers did says nothing of now.
-        if (m_aggregate.at - noted.at < internal::comparableAge) {
-            levels.push_back(noted.level);
+        if (m_aggregate.at - reported.at < internal::comparableAge) {
+            levels.push_back(reported.level);
         }
     }
     const auto median = levels.begin() + static_cast<std::ptrdiff_t>((levels.size() - 1) / 2);
@@ -52,9 +52,9 @@
     return m_aggregate;
 }
 
-double probeChance(const NotedLevel &noted, const SteadyTime now)
+double probeChance(const ReportedLevel &reported, const SteadyTime now)
 {
-    const Duration age = now - noted.at;
+    const Duration age = now - reported.at;
     if (age <= internal::freshAge) {
         return 0.0;
     }
--- a/src/egretlatch/admission/level_notes.hpp
+++ b/src/egretlatch/admission/level_reports.hpp
@@ -1,9 +1,9 @@
-#ifndef EGRETLATCH_ADMISSION_LEVEL_NOTES_HPP
-#define EGRETLATCH_ADMISSION_LEVEL_NOTES_HPP
+#ifndef EGRETLATCH_ADMISSION_LEVEL_REPORTS_HPP
+#define EGRETLATCH_ADMISSION_LEVEL_REPORTS_HPP
 
 #include <map>
 
-#include <egretlatch/admission/noted_level.hpp>
+#include <egretlatch/admission/reported_level.hpp>
 #include <egretlatch/core/clock.hpp>
 #include <egretlatch/core/ids.hpp>
 
@@ -11,7 +11,7 @@
 {
 
 /*! @brief The levels that the daemons of one service told lately. */
-class LevelNotes
+class LevelReports
 {
 public:
     /**
@@ -19,18 +19,18 @@
      * @param daemon The daemon that told it.
      * @param level The level, with the time at which the daemon it stands at told it.
      */
-    void note(const DaemonId &daemon, const NotedLevel &level);
+    void note(const DaemonId &daemon, const ReportedLevel &level);
 
     /**
      * @brief Gives the level of the service as a whole.
      * @param now Current time.
      * @return The median of the daemons' levels, the lower one of two; the lowest where nothing recent was told.
      */
-    [[nodiscard]] NotedLevel aggregate(SteadyTime now);
+    [[nodiscard]] ReportedLevel aggregate(SteadyTime now);
 
 private:
-    std::map<DaemonId, NotedLevel> m_notes;
-    NotedLevel m_aggregate;
+    std::map<DaemonId, ReportedLevel> m_notes;
+    ReportedLevel m_aggregate;
     SteadyTime m_aggregatedAt;
 };
 
@@ -42,7 +42,7 @@
  * @param now Current time.
  * @return 0 for a fresh level, 1 from one second on.
  */
-[[nodiscard]] double probeChance(const NotedLevel &noted, SteadyTime now);
+[[nodiscard]] double probeChance(const ReportedLevel &reported, SteadyTime now);
 
 } // namespace egretlatch::admission
 
--- a/src/egretlatch/admission/level_times.hpp
+++ b/src/egretlatch/admission/level_times.hpp
@@ -11,9 +11,9 @@
 {
     /*! @brief Time over which demand is averaged. */
     std::chrono::milliseconds demandWindow{150};
-    std::chrono::milliseconds shortestStep{20};
+    std::chrono::milliseconds minStepInterval{20};
     /*! @brief Longest wait between two steps that let more in. */
-    std::chrono::milliseconds longestStep{200};
+    std::chrono::milliseconds maxStepInterval{200};
 
     friend bool operator==(const LevelTimes &, const LevelTimes &) = default;
 };
--- a/src/egretlatch/admission/open_entry.cpp
+++ b/src/egretlatch/admission/open_entry.cpp
@@ -22,15 +22,15 @@
     return {.priority = rank.priority, .density = 0};
 }
 
-void OpenEntry::noteLoad(const ServerNews & /*news*/, const SteadyTime /*now*/)
+void OpenEntry::noteLoad(const ServerLoadReport & /*news*/, const SteadyTime /*now*/)
 {
 }
 
-void OpenEntry::noteLevel(const ServiceNews & /*news*/)
+void OpenEntry::noteLevel(const ServiceLevelReport & /*news*/)
 {
 }
 
-std::vector<ServiceNews> OpenEntry::levelsBelow(const std::string & /*service*/, const SteadyTime /*now*/)
+std::vector<ServiceLevelReport> OpenEntry::downstreamLevels(const std::string & /*service*/, const SteadyTime /*now*/)
 {
     return {};
 }
--- a/src/egretlatch/admission/open_entry.hpp
+++ b/src/egretlatch/admission/open_entry.hpp
@@ -13,9 +13,9 @@
     void setManifest(std::shared_ptr<const manifest::Manifest> manifest) override;
     [[nodiscard]] Rank rankOf(const std::string &service, const std::string &kind) const override;
     [[nodiscard]] RankClass classAt(const std::string &service, const std::string &kind, const Rank &rank, const RootCosts &costs) const override;
-    void noteLoad(const ServerNews &news, SteadyTime now) override;
-    void noteLevel(const ServiceNews &news) override;
-    [[nodiscard]] std::vector<ServiceNews> levelsBelow(const std::string &service, SteadyTime now) override;
+    void noteLoad(const ServerLoadReport &news, SteadyTime now) override;
+    void noteLevel(const ServiceLevelReport &news) override;
+    [[nodiscard]] std::vector<ServiceLevelReport> downstreamLevels(const std::string &service, SteadyTime now) override;
     [[nodiscard]] std::optional<EntryRefusal> check(const EntryRequest &request, SteadyTime now) override;
 
 private:
--- a/src/egretlatch/admission/pace_meter.cpp
+++ b/src/egretlatch/admission/pace_meter.cpp
@@ -18,7 +18,7 @@
 
 } // namespace internal
 
-void PaceMeter::noteEnded(const std::string &kind, const Duration own, const SteadyTime now)
+void PaceMeter::noteCompleted(const std::string &kind, const Duration own, const SteadyTime now)
 {
     Entry &entry = entryOf(kind);
     entry.runs = std::min(entry.runs + 1, internal::runsInMean);
@@ -43,11 +43,11 @@
     return m_entries[kind];
 }
 
-void PaceMeter::noteCutShort(const std::string &kind, const Duration own, const SteadyTime now)
+void PaceMeter::noteAbandoned(const std::string &kind, const Duration own, const SteadyTime now)
 {
     const auto found = m_entries.find(kind);
     if (found != m_entries.end() && own > found->second.own) {
-        noteEnded(kind, own, now);
+        noteCompleted(kind, own, now);
     }
 }
 
--- a/src/egretlatch/admission/pace_meter.hpp
+++ b/src/egretlatch/admission/pace_meter.hpp
@@ -21,7 +21,7 @@
      * @param own Time of the run without what it waited for inner calls.
      * @param now Current time.
      */
-    void noteEnded(const std::string &kind, Duration own, SteadyTime now);
+    void noteCompleted(const std::string &kind, Duration own, SteadyTime now);
 
     /**
      * @brief Takes a run that the server failed by itself.
@@ -36,7 +36,7 @@
      * @param own Time of the run so far, without what it waited for inner calls.
      * @param now Current time.
      */
-    void noteCutShort(const std::string &kind, Duration own, SteadyTime now);
+    void noteAbandoned(const std::string &kind, Duration own, SteadyTime now);
 
     /**
      * @brief Gives the pace at one kind.
--- a/src/egretlatch/admission/noted_level.hpp
+++ b/src/egretlatch/admission/reported_level.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_ADMISSION_NOTED_LEVEL_HPP
-#define EGRETLATCH_ADMISSION_NOTED_LEVEL_HPP
+#ifndef EGRETLATCH_ADMISSION_REPORTED_LEVEL_HPP
+#define EGRETLATCH_ADMISSION_REPORTED_LEVEL_HPP
 
 #include <egretlatch/admission/rank.hpp>
 #include <egretlatch/core/clock.hpp>
@@ -8,12 +8,12 @@
 {
 
 /*! @brief A level with the time at which it was told. */
-struct NotedLevel
+struct ReportedLevel
 {
     Level level;
     SteadyTime at;
 
-    friend bool operator==(const NotedLevel &, const NotedLevel &) = default;
+    friend bool operator==(const ReportedLevel &, const ReportedLevel &) = default;
 };
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/admission/root_costs.cpp
+++ b/src/egretlatch/admission/root_costs.cpp
@@ -15,7 +15,7 @@
 
 } // namespace internal
 
-RootCosts::RootCosts(const ChainStops &chain)
+RootCosts::RootCosts(const SlotTimeByService &chain)
 {
     m_stops.reserve(chain.size());
     for (const auto &[service, held] : chain) {
@@ -27,7 +27,7 @@
 {
     std::optional<Duration> cost;
     const std::uint32_t hash = internal::hashOf(service);
-    for (const Stop &stop : m_stops) {
+    for (const ServiceCost &stop : m_stops) {
         if (stop.service == hash && (!cost.has_value() || stop.held > *cost)) {
             cost = stop.held;
         }
--- a/src/egretlatch/admission/root_costs.hpp
+++ b/src/egretlatch/admission/root_costs.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include <egretlatch/admission/chain_stops.hpp>
+#include <egretlatch/admission/slot_time_by_service.hpp>
 
 namespace egretlatch::admission
 {
@@ -23,12 +23,12 @@
 {
 public:
     /*! @brief One service of the chain. */
-    struct Stop
+    struct ServiceCost
     {
         std::uint32_t service{};
         Duration held{};
 
-        friend auto operator<=>(const Stop &, const Stop &) = default;
+        friend auto operator<=>(const ServiceCost &, const ServiceCost &) = default;
     };
 
     RootCosts() = default;
@@ -37,14 +37,14 @@
      * @brief Takes the costs of a chain.
      * @param chain The chain.
      */
-    explicit RootCosts(const ChainStops &chain);
+    explicit RootCosts(const SlotTimeByService &chain);
 
     /**
      * @brief Takes costs that came with a call.
      * @param stops The costs.
      */
-    explicit RootCosts(std::vector<Stop> stops)
-        : m_stops{std::move(stops)}
+    explicit RootCosts(std::vector<ServiceCost> costs)
+        : m_stops{std::move(costs)}
     {
     }
 
@@ -55,7 +55,7 @@
      */
     [[nodiscard]] std::optional<Duration> at(const std::string &service) const;
 
-    [[nodiscard]] const std::vector<Stop> &stops() const noexcept
+    [[nodiscard]] const std::vector<ServiceCost> &costs() const noexcept
     {
         return m_stops;
     }
@@ -63,7 +63,7 @@
     friend bool operator==(const RootCosts &, const RootCosts &) = default;
 
 private:
-    std::vector<Stop> m_stops;
+    std::vector<ServiceCost> m_stops;
 };
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/admission/run_estimator.cpp
+++ b/src/egretlatch/admission/run_estimator.cpp
@@ -28,7 +28,7 @@
     return runs;
 }
 
-void RunEstimator::noteEnded(const std::string &kind, const Duration held, const SteadyTime now)
+void RunEstimator::noteCompleted(const std::string &kind, const Duration held, const SteadyTime now)
 {
     Runs &runs = runsOf(kind, now);
     runs.mean = runs.mean == Duration{} ? held : runs.mean + (held - runs.mean) / internal::samplesInMean;
@@ -36,7 +36,7 @@
     ++runs.current.ended;
 }
 
-void RunEstimator::noteCutShort(const std::string &kind, const Duration held, const SteadyTime now)
+void RunEstimator::noteAbandoned(const std::string &kind, const Duration held, const SteadyTime now)
 {
     Runs &runs = runsOf(kind, now);
     if (held > runs.mean) {
--- a/src/egretlatch/admission/run_estimator.hpp
+++ b/src/egretlatch/admission/run_estimator.hpp
@@ -19,7 +19,7 @@
      * @param held Time that it held its slot.
      * @param now Current time.
      */
-    void noteEnded(const std::string &kind, Duration held, SteadyTime now);
+    void noteCompleted(const std::string &kind, Duration held, SteadyTime now);
 
     /**
      * @brief Notes a run that was cut short, so that only a lower bound is known.
@@ -27,7 +27,7 @@
      * @param held Time that it held its slot until then.
      * @param now Current time.
      */
-    void noteCutShort(const std::string &kind, Duration held, SteadyTime now);
+    void noteAbandoned(const std::string &kind, Duration held, SteadyTime now);
 
     /**
      * @brief Gives the time that a run is expected to hold its slot.
--- a/src/egretlatch/admission/chain_stops.hpp
+++ b/src/egretlatch/admission/slot_time_by_service.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_ADMISSION_CHAIN_STOPS_HPP
-#define EGRETLATCH_ADMISSION_CHAIN_STOPS_HPP
+#ifndef EGRETLATCH_ADMISSION_SLOT_TIME_BY_SERVICE_HPP
+#define EGRETLATCH_ADMISSION_SLOT_TIME_BY_SERVICE_HPP
 
 #include <map>
 #include <string>
@@ -13,7 +13,7 @@
 using manifest::KindName;
 
 /*! @brief Slot time that one request takes at each service down its chain. */
-using ChainStops = std::map<std::string, Duration>;
+using SlotTimeByService = std::map<std::string, Duration>;
 
 } // namespace egretlatch::admission
 
--- a/src/egretlatch/admission/whole_chain_entry.cpp
+++ b/src/egretlatch/admission/whole_chain_entry.cpp
@@ -20,12 +20,12 @@
 {
     const std::string &service;
     RankClass rankClass;
-    NotedLevel noted;
+    ReportedLevel reported;
 };
 
 [[nodiscard]] static std::chrono::milliseconds retryAfter(const Obstacle &obstacle, const Uuid &root)
 {
-    const bool isWithinClass = obstacle.rankClass == obstacle.noted.level.rankClass();
+    const bool isWithinClass = obstacle.rankClass == obstacle.reported.level.rankClass();
     const std::chrono::milliseconds shortest = isWithinClass ? retryAfterWithinClass : retryAfterBelowClass;
     // Callers that were refused together must not come back together.
     return shortest + std::chrono::duration_cast<std::chrono::milliseconds>(placeOf(root) * retryAfterSpread);
@@ -33,7 +33,7 @@
 
 [[nodiscard]] static EntryRefusal refusalOf(const Obstacle &obstacle, const Uuid &root, const SteadyTime now)
 {
-    const Level &level = obstacle.noted.level;
+    const Level &level = obstacle.reported.level;
     return {
         .reason = account::RefusalReason::overloadAtEntry,
         .rule = fmt::format("{} down the chain refuses requests of this rank", obstacle.service),
@@ -43,7 +43,7 @@
                     {.name = "levelPriority", .value = static_cast<double>(level.priority)},
                     {.name = "levelDensityClass", .value = static_cast<double>(level.density)},
                     {.name = "levelFraction", .value = level.fraction},
-                    {.name = "levelAgeMs", .value = std::chrono::duration<double, std::milli>(now - obstacle.noted.at).count()}},
+                    {.name = "levelAgeMs", .value = std::chrono::duration<double, std::milli>(now - obstacle.reported.at).count()}},
         .retryAfter = retryAfter(obstacle, root),
     };
 }
@@ -84,7 +84,7 @@
     return m_costSource == CostSource::declared ? RootCosts{} : RootCosts{m_learned.chain({service, kind})};
 }
 
-void WholeChainEntry::noteLoad(const ServerNews &news, const SteadyTime now)
+void WholeChainEntry::noteLoad(const ServerLoadReport &news, const SteadyTime now)
 {
     // An attempt that never left, and a daemon without a backend server, tell of no limit and so of no load.
     if (news.load.limit > 0) {
@@ -92,26 +92,26 @@
     }
 }
 
-void WholeChainEntry::noteLevel(const ServiceNews &news)
+void WholeChainEntry::noteLevel(const ServiceLevelReport &news)
 {
     // News of one service come round by several ways, and by cycles of daemons that call one another come back to where
     // they were. Only what stood later than all that is known is taken, by the time at the service itself, so old news
     // are never made young again.
-    NotedLevel &known = m_notes[news.service].passedOn;
-    if (news.noted.at > known.at) {
-        known = news.noted;
+    ReportedLevel &known = m_notes[news.service].passedOn;
+    if (news.reported.at > known.at) {
+        known = news.reported;
     }
 }
 
-std::vector<ServiceNews> WholeChainEntry::levelsBelow(const std::string &service, const SteadyTime now)
+std::vector<ServiceLevelReport> WholeChainEntry::downstreamLevels(const std::string &service, const SteadyTime now)
 {
-    std::vector<ServiceNews> news;
-    std::set<std::string> services = m_learned.servicesBelow(service);
-    services.insert(m_costs.servicesBelow(service).begin(), m_costs.servicesBelow(service).end());
+    std::vector<ServiceLevelReport> news;
+    std::set<std::string> services = m_learned.downstreamServices(service);
+    services.insert(m_costs.downstreamServices(service).begin(), m_costs.downstreamServices(service).end());
     for (const std::string &below : services) {
-        const NotedLevel noted = levelOf(below, now);
-        if (noted.at != SteadyTime{}) {
-            news.push_back({.service = below, .noted = noted});
+        const ReportedLevel reported = levelOf(below, now);
+        if (reported.at != SteadyTime{}) {
+            news.push_back({.service = below, .reported = reported});
         }
     }
     return news;
@@ -119,8 +119,8 @@
 
 std::optional<EntryRefusal> WholeChainEntry::check(const EntryRequest &request, const SteadyTime now)
 {
-    static const ChainStops none;
-    const ChainStops &declared = m_costSource == CostSource::declared ? m_costs.stops(request.service, request.kind) : none;
+    static const SlotTimeByService none;
+    const SlotTimeByService &declared = m_costSource == CostSource::declared ? m_costs.stops(request.service, request.kind) : none;
     for (const auto &[service, held] : declared) {
         if (auto refusal = checkAt(service, held, request, now)) {
             return refusal;
@@ -139,8 +139,8 @@
 
 std::optional<EntryRefusal> WholeChainEntry::checkAt(const std::string &service, const Duration held, const EntryRequest &request, const SteadyTime now)
 {
-    const internal::Obstacle obstacle{.service = service, .rankClass = classOf(request.rank, held), .noted = levelOf(service, now)};
-    if (admits(obstacle.noted.level, obstacle.rankClass, request.root) || m_random.fraction() < probeChance(obstacle.noted, now)) {
+    const internal::Obstacle obstacle{.service = service, .rankClass = classOf(request.rank, held), .reported = levelOf(service, now)};
+    if (admits(obstacle.reported.level, obstacle.rankClass, request.root) || m_random.fraction() < probeChance(obstacle.reported, now)) {
         return std::nullopt;
     }
     return internal::refusalOf(obstacle, request.root, now);
@@ -151,20 +151,20 @@
     m_learned.noteRun(run.kind, run.calls, run.held);
 }
 
-void WholeChainEntry::noteChain(const KindName &kind, const ChainStops &stops)
+void WholeChainEntry::noteChain(const KindName &kind, const SlotTimeByService &stops)
 {
     m_learned.noteChain(kind, stops);
 }
 
-ChainStops WholeChainEntry::learnedChain(const KindName &kind) const
+SlotTimeByService WholeChainEntry::learnedChain(const KindName &kind) const
 {
     return m_learned.chain(kind);
 }
 
-NotedLevel WholeChainEntry::levelOf(const std::string &service, const SteadyTime now)
+ReportedLevel WholeChainEntry::levelOf(const std::string &service, const SteadyTime now)
 {
     Notes &notes = m_notes[service];
-    const NotedLevel own = notes.own.aggregate(now);
+    const ReportedLevel own = notes.own.aggregate(now);
     return own.at >= notes.passedOn.at ? own : notes.passedOn;
 }
 
--- a/src/egretlatch/admission/whole_chain_entry.hpp
+++ b/src/egretlatch/admission/whole_chain_entry.hpp
@@ -6,7 +6,7 @@
 #include <egretlatch/admission/chain_costs.hpp>
 #include <egretlatch/admission/cost_source.hpp>
 #include <egretlatch/admission/entry_control.hpp>
-#include <egretlatch/admission/level_notes.hpp>
+#include <egretlatch/admission/level_reports.hpp>
 #include <egretlatch/core/random_source.hpp>
 
 namespace egretlatch::admission
@@ -32,25 +32,25 @@
     [[nodiscard]] Rank rankOf(const std::string &service, const std::string &kind) const override;
     [[nodiscard]] RankClass classAt(const std::string &service, const std::string &kind, const Rank &rank, const RootCosts &costs) const override;
     [[nodiscard]] RootCosts costsOf(const std::string &service, const std::string &kind) const override;
-    void noteLoad(const ServerNews &news, SteadyTime now) override;
-    void noteLevel(const ServiceNews &news) override;
-    [[nodiscard]] std::vector<ServiceNews> levelsBelow(const std::string &service, SteadyTime now) override;
+    void noteLoad(const ServerLoadReport &news, SteadyTime now) override;
+    void noteLevel(const ServiceLevelReport &news) override;
+    [[nodiscard]] std::vector<ServiceLevelReport> downstreamLevels(const std::string &service, SteadyTime now) override;
     void noteRun(const RunCalls &run) override;
-    void noteChain(const KindName &kind, const ChainStops &stops) override;
-    [[nodiscard]] ChainStops learnedChain(const KindName &kind) const override;
+    void noteChain(const KindName &kind, const SlotTimeByService &stops) override;
+    [[nodiscard]] SlotTimeByService learnedChain(const KindName &kind) const override;
     [[nodiscard]] std::optional<EntryRefusal> check(const EntryRequest &request, SteadyTime now) override;
 
 private:
     struct Notes
     {
         /*! @brief What its serving daemons told of themselves. */
-        LevelNotes own;
+        LevelReports own;
         /*! @brief The latest of what the daemons between told of it. */
-        NotedLevel passedOn;
+        ReportedLevel passedOn;
     };
 
     [[nodiscard]] std::optional<EntryRefusal> checkAt(const std::string &service, Duration held, const EntryRequest &request, SteadyTime now);
-    [[nodiscard]] NotedLevel levelOf(const std::string &service, SteadyTime now);
+    [[nodiscard]] ReportedLevel levelOf(const std::string &service, SteadyTime now);
 
     RandomSource &m_random;
     CostSource m_costSource;
--- a/src/egretlatch/cli/status_command.cpp
+++ b/src/egretlatch/cli/status_command.cpp
@@ -35,7 +35,7 @@
 
 static void addHeard(const configuration::Report &report, Lines &lines)
 {
-    for (const configuration::HeardVersion &heard : report.heard) {
+    for (const configuration::ReportedVersion &heard : report.heard) {
         Line &line = lines.try_emplace(heard.daemon, Line{.version = heard.version, .hash = {}, .age = heard.age}).first->second;
         // Versions only rise, so the higher of two reports is the later one.
         if (heard.version > line.version) {
--- a/src/egretlatch/cli/submit_command.cpp
+++ b/src/egretlatch/cli/submit_command.cpp
@@ -7,7 +7,7 @@
 
 #include <egretlatch/cli/documents.hpp>
 #include <egretlatch/cli/http_platform_port.hpp>
-#include <egretlatch/core/fresh_life.hpp>
+#include <egretlatch/core/new_incarnation.hpp>
 #include <egretlatch/core/uuid.hpp>
 #include <egretlatch/store/backoff.hpp>
 
@@ -70,9 +70,9 @@
     return {.code = ExitCode::badInput, .text = "refused: the platform does not accept the token, or does not understand the request\n"};
 }
 
-[[nodiscard]] static CommandResult describeGivenUp(const SubmissionRequest &request, const bool isUnsure, const std::string &reason)
+[[nodiscard]] static CommandResult describeGivenUp(const SubmissionRequest &request, const bool isOutcomeUnknown, const std::string &reason)
 {
-    if (!isUnsure) {
+    if (!isOutcomeUnknown) {
         return {.code = ExitCode::unavailable, .text = fmt::format("not submitted: {}; nothing was changed\n", reason)};
     }
     std::string text = fmt::format("unsure: the platform did not say whether this is version {}: {}\n", request.base + 1, reason);
@@ -97,7 +97,7 @@
             continue;
         }
         if (waited >= patience) {
-            return internal::describeGivenUp(request, submission.isUnsure(), outcome.has_value() ? "an odd answer" : outcome.error().message);
+            return internal::describeGivenUp(request, submission.isOutcomeUnknown(), outcome.has_value() ? "an odd answer" : outcome.error().message);
         }
         const Duration wait = backoff.next(random);
         waited += wait;
@@ -141,7 +141,7 @@
     if (port == nullptr || !manifest.has_value()) {
         return ExitCode::badInput;
     }
-    SeededRandom random{freshSeed()};
+    SeededRandom random{randomSeed()};
     const SystemClock clock;
     configuration::SubmissionRequest request;
     request.base = options.base;
--- a/src/egretlatch/configuration/follower.cpp
+++ b/src/egretlatch/configuration/follower.cpp
@@ -12,8 +12,8 @@
 {
 
 constexpr std::chrono::milliseconds firstRetry{200};
-constexpr std::chrono::seconds longestFetchWait{4};
-constexpr std::size_t sourcesKept = 8;
+constexpr std::chrono::seconds maxFetchBackoff{4};
+constexpr std::size_t maxSources = 8;
 // Peers that are told what is in force in each interval, so that news reach those that missed the first wave.
 constexpr std::size_t steadyFanout = 2;
 
@@ -29,8 +29,8 @@
     : m_outlet{outlet}
     , m_random{random}
     , m_options{std::move(options)}
-    , m_pollBackoff{internal::firstRetry, m_options.longestPoll}
-    , m_fetchBackoff{internal::firstRetry, internal::longestFetchWait}
+    , m_pollBackoff{internal::firstRetry, m_options.maxPollInterval}
+    , m_fetchBackoff{internal::firstRetry, internal::maxFetchBackoff}
 {
 }
 
@@ -39,7 +39,7 @@
     if (!m_options.hasPlatform) {
         return;
     }
-    if (!m_options.isFed && now >= m_nextPoll && !m_headRequest.has_value()) {
+    if (!m_options.receivesManifests && now >= m_nextPoll && !m_headRequest.has_value()) {
         poll(now);
     }
     if (now >= m_nextAdvert) {
@@ -60,11 +60,11 @@
     m_fleet[sender] = {.version = advert.version, .heard = now};
     const Peer peer{.id = sender, .endpoint = advert.endpoint};
     if (advert.version > m_inForce.version) {
-        learn(advert.version, advert.hash, &peer, now);
+        raiseTarget(advert.version, advert.hash, &peer, now);
         return;
     }
     if (advert.version < m_inForce.version) {
-        // Whoever lags is told at once: a daemon that starts while the platform is down has no other way to learn.
+        // Whoever lags is told at once: a daemon that starts while the platform is down has no other way to raiseTarget.
         m_outlet.send(peer, this->advert());
         return;
     }
@@ -73,15 +73,15 @@
     }
 }
 
-void Follower::takeAccepted(const std::uint64_t version, const QByteArray &manifest, const SteadyTime now)
+void Follower::handleAccepted(const std::uint64_t version, const QByteArray &manifest, const SteadyTime now)
 {
     if (version <= m_inForce.version || version < m_target.version) {
         return;
     }
     m_target = {.version = version, .hash = contentHash(manifest)};
     m_sources.clear();
-    m_isUnusable = false;
-    takeBody(manifest, {}, now);
+    m_isTargetUnusable = false;
+    applyManifest(manifest, {}, now);
 }
 
 void Follower::handleBodyRequest(const DaemonId &sender, const BodyRequest &request)
@@ -99,25 +99,25 @@
         fetch(now);
         return;
     }
-    takeBody(reply.manifest, sender, now);
+    applyManifest(reply.manifest, sender, now);
 }
 
 bool Follower::handleOutcome(const store::RequestId id, const store::Outcome &outcome, const SteadyTime now)
 {
     if (m_headRequest == id) {
         m_headRequest.reset();
-        takeHead(outcome, now);
+        handleHeadOutcome(outcome, now);
         return true;
     }
     if (m_objectRequest == id) {
         m_objectRequest.reset();
-        takeObject(outcome, now);
+        handleObjectOutcome(outcome, now);
         return true;
     }
     return false;
 }
 
-void Follower::learn(const std::uint64_t version, const std::string &hash, const Peer *const source, const SteadyTime now)
+void Follower::raiseTarget(const std::uint64_t version, const std::string &hash, const Peer *const source, const SteadyTime now)
 {
     if (version <= m_inForce.version || version < m_target.version) {
         return;
@@ -130,12 +130,12 @@
     if (!isSame) {
         m_target = {.version = version, .hash = hash};
         m_sources.clear();
-        m_isUnusable = false;
+        m_isTargetUnusable = false;
         m_fetchDue.reset();
         m_fetchBackoff.reset();
     }
     const bool isNewSource = source != nullptr && std::find(m_sources.begin(), m_sources.end(), *source) == m_sources.end();
-    if (isNewSource && m_sources.size() < internal::sourcesKept) {
+    if (isNewSource && m_sources.size() < internal::maxSources) {
         m_sources.push_back(*source);
     }
     // A store that hangs must not hold back a daemon that has just found a peer to ask.
@@ -149,16 +149,16 @@
 
 void Follower::fetch(const SteadyTime now)
 {
-    if (!isBehind() || m_isUnusable || m_objectRequest.has_value()) {
+    if (!isBehind() || m_isTargetUnusable || m_objectRequest.has_value()) {
         return;
     }
     // Peers and the store in turn: either may be out of reach for long. Where manifests are handed over whole, the store has
     // no turn, and the next peer is asked as soon as one has not answered.
-    const bool isStoresTurn = m_wasPeerAskedLast && !m_options.isFed;
-    if (m_sources.empty() || isStoresTurn) {
+    const bool isTurnOfStore = m_wasPeerAskedLast && !m_options.receivesManifests;
+    if (m_sources.empty() || isTurnOfStore) {
         m_wasPeerAskedLast = false;
-        if (m_options.isFed) {
-            retryFetch(now);
+        if (m_options.receivesManifests) {
+            scheduleFetchRetry(now);
             return;
         }
         fetchFromStore();
@@ -175,12 +175,12 @@
     m_objectRequest = m_outlet.ask(store::ObjectGet{.name = objectName(m_target.hash)});
 }
 
-void Follower::retryFetch(const SteadyTime now)
+void Follower::scheduleFetchRetry(const SteadyTime now)
 {
     m_fetchDue = now + m_fetchBackoff.next(m_random);
 }
 
-void Follower::takeBody(const QByteArray &manifest, const DaemonId &bringer, const SteadyTime now)
+void Follower::applyManifest(const QByteArray &manifest, const DaemonId &source, const SteadyTime now)
 {
     if (!isBehind()) {
         return;
@@ -188,25 +188,25 @@
     // Bytes from a peer or the store may be cut, stale or forged; only those that the head row names are taken.
     if (contentHash(manifest) != m_target.hash) {
         m_outlet.count("hash-mismatch");
-        retryFetch(now);
+        scheduleFetchRetry(now);
         return;
     }
     m_fetchDue.reset();
     const tl::expected<manifest::ParsedManifest, settings::Problems> parsed = manifest::parseManifest(manifest);
     if (!parsed.has_value()) {
         // Accepted by a newer program than this one: it stays with what it has, and status shows that it lags.
-        m_isUnusable = true;
+        m_isTargetUnusable = true;
         m_outlet.count("manifest-not-understood");
         return;
     }
     m_inForce = m_target;
     m_manifest = manifest;
     m_sources.clear();
-    m_outlet.putInForce(m_inForce.version, parsed->manifest, bringer);
+    m_outlet.putInForce(m_inForce.version, parsed->manifest, source);
     advertise(m_options.fanout);
 }
 
-void Follower::takeHead(const store::Outcome &outcome, const SteadyTime now)
+void Follower::handleHeadOutcome(const store::Outcome &outcome, const SteadyTime now)
 {
     if (!outcome.has_value()) {
         m_nextPoll = now + m_pollBackoff.next(m_random);
@@ -223,17 +223,17 @@
         m_outlet.count("head-not-understood");
         return;
     }
-    learn(head->version, head->hash, nullptr, now);
+    raiseTarget(head->version, head->hash, nullptr, now);
 }
 
-void Follower::takeObject(const store::Outcome &outcome, const SteadyTime now)
+void Follower::handleObjectOutcome(const store::Outcome &outcome, const SteadyTime now)
 {
     const auto *const object = outcome.has_value() ? std::get_if<store::ObjectReply>(&*outcome) : nullptr;
     if (object == nullptr) {
-        retryFetch(now);
+        scheduleFetchRetry(now);
         return;
     }
-    takeBody(object->bytes, {}, now);
+    applyManifest(object->bytes, {}, now);
 }
 
 void Follower::poll(const SteadyTime now)
@@ -246,13 +246,13 @@
 {
     const double seconds = static_cast<double>(m_outlet.peers().size() + 1) / m_options.fleetPollsPerSecond;
     const auto share = std::chrono::duration_cast<Duration>(std::chrono::duration<double>{seconds});
-    m_nextPoll = now + internal::jittered(std::clamp(share, m_options.shortestPoll, m_options.longestPoll), m_random);
+    m_nextPoll = now + internal::jittered(std::clamp(share, m_options.minPollInterval, m_options.maxPollInterval), m_random);
 }
 
 void Follower::advertise(const std::size_t count)
 {
     std::vector<Peer> peers = m_outlet.peers();
-    forgetGone(peers);
+    removeGonePeers(peers);
     for (std::size_t sent = 0; sent < count && !peers.empty(); ++sent) {
         const std::size_t chosen = m_random.below(peers.size());
         m_outlet.send(peers[chosen], advert());
@@ -261,7 +261,7 @@
     }
 }
 
-void Follower::forgetGone(const std::vector<Peer> &peers)
+void Follower::removeGonePeers(const std::vector<Peer> &peers)
 {
     std::set<DaemonId> known;
     for (const Peer &peer : peers) {
--- a/src/egretlatch/configuration/follower.hpp
+++ b/src/egretlatch/configuration/follower.hpp
@@ -23,12 +23,12 @@
 {
     /*! @brief Without a platform there is nothing to follow. */
     bool hasPlatform{};
-    /*! @brief Manifests are handed over whole, by takeAccepted(), so the store is not asked for them. */
-    bool isFed{};
+    /*! @brief Manifests are handed over whole, by handleAccepted(), so the store is not asked for them. */
+    bool receivesManifests{};
     /*! @brief Reads of the head row a second by the whole fleet. */
     double fleetPollsPerSecond{10.0};
-    Duration shortestPoll{std::chrono::seconds{2}};
-    Duration longestPoll{std::chrono::seconds{30}};
+    Duration minPollInterval{std::chrono::seconds{2}};
+    Duration maxPollInterval{std::chrono::seconds{30}};
     Duration advertInterval{std::chrono::seconds{1}};
     /*! @brief Peers that are told at once of a new configuration. */
     std::size_t fanout{4};
@@ -41,12 +41,12 @@
 };
 
 /*! @brief What another daemon said it has in force. */
-struct FleetEntry
+struct ReceivedVersion
 {
     std::uint64_t version{};
     SteadyTime heard;
 
-    friend bool operator==(const FleetEntry &, const FleetEntry &) = default;
+    friend bool operator==(const ReceivedVersion &, const ReceivedVersion &) = default;
 };
 
 /**
@@ -86,7 +86,7 @@
      * @param manifest The whole document.
      * @param now Current time.
      */
-    void takeAccepted(std::uint64_t version, const QByteArray &manifest, SteadyTime now);
+    void handleAccepted(std::uint64_t version, const QByteArray &manifest, SteadyTime now);
 
     /**
      * @brief Answers a peer that asks for a manifest.
@@ -135,42 +135,42 @@
      * @brief Gives what others said they have in force.
      * @return By daemon.
      */
-    [[nodiscard]] const std::map<DaemonId, FleetEntry> &fleet() const noexcept
+    [[nodiscard]] const std::map<DaemonId, ReceivedVersion> &fleet() const noexcept
     {
         return m_fleet;
     }
 
 private:
-    struct Known
+    struct VersionAndHash
     {
         std::uint64_t version{};
         std::string hash;
     };
 
-    void learn(std::uint64_t version, const std::string &hash, const Peer *source, SteadyTime now);
+    void raiseTarget(std::uint64_t version, const std::string &hash, const Peer *source, SteadyTime now);
     void fetch(SteadyTime now);
     void fetchFromStore();
-    void retryFetch(SteadyTime now);
-    void takeBody(const QByteArray &manifest, const DaemonId &bringer, SteadyTime now);
-    void takeHead(const store::Outcome &outcome, SteadyTime now);
-    void takeObject(const store::Outcome &outcome, SteadyTime now);
+    void scheduleFetchRetry(SteadyTime now);
+    void applyManifest(const QByteArray &manifest, const DaemonId &source, SteadyTime now);
+    void handleHeadOutcome(const store::Outcome &outcome, SteadyTime now);
+    void handleObjectOutcome(const store::Outcome &outcome, SteadyTime now);
     void poll(SteadyTime now);
     void schedulePoll(SteadyTime now);
     void advertise(std::size_t count);
-    void forgetGone(const std::vector<Peer> &peers);
+    void removeGonePeers(const std::vector<Peer> &peers);
     [[nodiscard]] Advert advert() const;
     [[nodiscard]] bool isBehind() const noexcept;
 
     Outlet &m_outlet;
     RandomSource &m_random;
     FollowerOptions m_options;
-    Known m_inForce;
+    VersionAndHash m_inForce;
     QByteArray m_manifest;
-    Known m_target;
+    VersionAndHash m_target;
     /*! @brief Peers that said they have the target in force. */
     std::vector<Peer> m_sources;
     bool m_wasPeerAskedLast{};
-    bool m_isUnusable{};
+    bool m_isTargetUnusable{};
     std::optional<SteadyTime> m_fetchDue;
     std::optional<store::RequestId> m_objectRequest;
     std::optional<store::RequestId> m_headRequest;
@@ -178,7 +178,7 @@
     store::Backoff m_fetchBackoff;
     SteadyTime m_nextPoll;
     SteadyTime m_nextAdvert;
-    std::map<DaemonId, FleetEntry> m_fleet;
+    std::map<DaemonId, ReceivedVersion> m_fleet;
 };
 
 } // namespace egretlatch::configuration
--- a/src/egretlatch/configuration/fwd.hpp
+++ b/src/egretlatch/configuration/fwd.hpp
@@ -7,11 +7,11 @@
 struct Head;
 struct Peer;
 struct FollowerOptions;
-struct FleetEntry;
+struct ReceivedVersion;
 struct Advert;
 struct BodyRequest;
 struct BodyReply;
-struct HeardVersion;
+struct ReportedVersion;
 struct Report;
 struct SubmissionRequest;
 struct SubmissionResult;
--- a/src/egretlatch/configuration/outlet.hpp
+++ b/src/egretlatch/configuration/outlet.hpp
@@ -25,7 +25,7 @@
     friend bool operator==(const Peer &, const Peer &) = default;
 };
 
-using PeerNews = std::variant<Advert, BodyRequest, BodyReply>;
+using PeerPayload = std::variant<Advert, BodyRequest, BodyReply>;
 
 /*! @brief What a Follower does to the world around it. */
 class Outlet
@@ -45,7 +45,7 @@
      * @param peer Who gets it.
      * @param news The message.
      */
-    virtual void send(const Peer &peer, PeerNews news) = 0;
+    virtual void send(const Peer &peer, PeerPayload news) = 0;
 
     /**
      * @brief Lists the daemons that can be talked to.
@@ -59,7 +59,7 @@
      * @param manifest The manifest.
      * @param bringer Who sent the manifest; empty if the platform did.
      */
-    virtual void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &bringer) = 0;
+    virtual void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &source) = 0;
 
     /**
      * @brief Counts something that should not happen often.
--- a/src/egretlatch/configuration/report.hpp
+++ b/src/egretlatch/configuration/report.hpp
@@ -12,13 +12,13 @@
 {
 
 /*! @brief What another daemon was last heard to have in force. */
-struct HeardVersion
+struct ReportedVersion
 {
     DaemonId daemon;
     std::uint64_t version{};
     std::chrono::milliseconds age{};
 
-    friend bool operator==(const HeardVersion &, const HeardVersion &) = default;
+    friend bool operator==(const ReportedVersion &, const ReportedVersion &) = default;
 };
 
 /*! @brief What one daemon knows of the configurations in force. */
@@ -31,7 +31,7 @@
     /*! @brief Newest version known to be accepted; above `version` while the daemon lags. */
     std::uint64_t newestKnown{};
     /*! @brief Other daemons, by id. */
-    std::vector<HeardVersion> heard;
+    std::vector<ReportedVersion> heard;
 
     friend bool operator==(const Report &, const Report &) = default;
 };
--- a/src/egretlatch/configuration/submission.cpp
+++ b/src/egretlatch/configuration/submission.cpp
@@ -16,7 +16,7 @@
 }
 
 // An id used again for another manifest names another submission.
-[[nodiscard]] static bool isSame(const Head &one, const Head &other)
+[[nodiscard]] static bool isSameSubmission(const Head &one, const Head &other)
 {
     return one.submission == other.submission && one.hash == other.hash;
 }
@@ -56,7 +56,7 @@
         return finish(SubmissionEnd::refused);
     }
     if (m_stage == Stage::writeHead) {
-        return takeWrite(outcome);
+        return handleWriteOutcome(outcome);
     }
     if (!outcome.has_value()) {
         return SubmissionStep::askLater;
@@ -70,10 +70,10 @@
     if (rows == nullptr) {
         return SubmissionStep::askLater;
     }
-    return m_stage == Stage::readHead ? takeHead(*rows) : takeVersion(*rows);
+    return m_stage == Stage::readHead ? handleHeadRow(*rows) : handleVersionRow(*rows);
 }
 
-SubmissionStep Submission::takeHead(const store::RowsReply &reply)
+SubmissionStep Submission::handleHeadRow(const store::RowsReply &reply)
 {
     const std::optional<Head> head = reply.rows.empty() ? std::nullopt : decodeHead(reply.rows.front().value);
     if (!reply.rows.empty() && !head.has_value()) {
@@ -89,30 +89,30 @@
     return SubmissionStep::ask;
 }
 
-SubmissionStep Submission::takeVersion(const store::RowsReply &reply)
+SubmissionStep Submission::handleVersionRow(const store::RowsReply &reply)
 {
     const std::optional<Head> row = reply.rows.empty() ? std::nullopt : decodeHead(reply.rows.front().value);
     if (!row.has_value()) {
         return finish(SubmissionEnd::baseTooOld);
     }
-    return finish(internal::isSame(*row, m_head) ? SubmissionEnd::accepted : SubmissionEnd::conflict, row);
+    return finish(internal::isSameSubmission(*row, m_head) ? SubmissionEnd::accepted : SubmissionEnd::conflict, row);
 }
 
-SubmissionStep Submission::takeWrite(const store::Outcome &outcome)
+SubmissionStep Submission::handleWriteOutcome(const store::Outcome &outcome)
 {
     switch (m_write->take(outcome)) {
     case store::WriteStep::ask:
         return SubmissionStep::ask;
     case store::WriteStep::askLater:
         return SubmissionStep::askLater;
-    case store::WriteStep::effected:
+    case store::WriteStep::applied:
         m_result.newest = std::max(m_result.newest, m_head.version);
         return finish(SubmissionEnd::accepted, m_head);
     case store::WriteStep::rejected:
         break;
     }
-    const std::optional<store::Row> &witness = m_write->witness();
-    const std::optional<Head> winner = witness.has_value() ? decodeHead(witness->value) : std::nullopt;
+    const std::optional<store::Row> &marker = m_write->marker();
+    const std::optional<Head> winner = marker.has_value() ? decodeHead(marker->value) : std::nullopt;
     m_result.newest = std::max(m_result.newest, m_head.version);
     return finish(SubmissionEnd::conflict, winner);
 }
@@ -136,7 +136,7 @@
     }
     return {std::move(write), key, [head = m_head](const std::string &found) {
                 const std::optional<Head> row = decodeHead(found);
-                return row.has_value() && internal::isSame(*row, head);
+                return row.has_value() && internal::isSameSubmission(*row, head);
             }};
 }
 
--- a/src/egretlatch/configuration/submission.hpp
+++ b/src/egretlatch/configuration/submission.hpp
@@ -67,7 +67,7 @@
  * @brief The steps by which a manifest is accepted; does no input or output.
  *
  * The manifest goes to the object store under its hash; then one transaction moves the head row from the base to the
- * version after it and creates that version's own row, which holds the submission id. The version's row is the witness
+ * version after it and creates that version's own row, which holds the submission id. The version's row is the marker
  * that resolves a lost answer, also long after the head has moved on.
  */
 class Submission
@@ -101,9 +101,9 @@
      * @brief Tells whether the submission may still be accepted if it is given up now.
      * @return True from a lost answer until the end is known.
      */
-    [[nodiscard]] bool isUnsure() const noexcept
+    [[nodiscard]] bool isOutcomeUnknown() const noexcept
     {
-        return m_write.has_value() && m_write->isUnsure();
+        return m_write.has_value() && m_write->isOutcomeUnknown();
     }
 
 private:
@@ -114,9 +114,9 @@
         writeHead,
     };
 
-    [[nodiscard]] SubmissionStep takeHead(const store::RowsReply &reply);
-    [[nodiscard]] SubmissionStep takeVersion(const store::RowsReply &reply);
-    [[nodiscard]] SubmissionStep takeWrite(const store::Outcome &outcome);
+    [[nodiscard]] SubmissionStep handleHeadRow(const store::RowsReply &reply);
+    [[nodiscard]] SubmissionStep handleVersionRow(const store::RowsReply &reply);
+    [[nodiscard]] SubmissionStep handleWriteOutcome(const store::Outcome &outcome);
     [[nodiscard]] SubmissionStep finish(SubmissionEnd end, const std::optional<Head> &row = std::nullopt);
     [[nodiscard]] store::IdentifiedWrite makeWrite(std::uint64_t headRowVersion) const;
 
--- a/src/egretlatch/core/fresh_life.hpp
+++ b/src/egretlatch/core/new_incarnation.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_CORE_FRESH_LIFE_HPP
-#define EGRETLATCH_CORE_FRESH_LIFE_HPP
+#ifndef EGRETLATCH_CORE_NEW_INCARNATION_HPP
+#define EGRETLATCH_CORE_NEW_INCARNATION_HPP
 
 #include <cstdint>
 
@@ -10,7 +10,7 @@
 {
 
 /*! @brief Draws a seed from the machine's own source of randomness. */
-[[nodiscard]] std::uint64_t freshSeed();
+[[nodiscard]] std::uint64_t randomSeed();
 
 /**
  * @brief Gives the number of a life that begins now.
@@ -18,7 +18,7 @@
  * It is calendar time, so that the next life of a daemon has a higher number without anything being kept.
  * @param clock Source of time.
  */
-[[nodiscard]] Incarnation incarnationAt(const Clock &clock);
+[[nodiscard]] Incarnation newIncarnation(const Clock &clock);
 
 } // namespace egretlatch
 
--- a/src/egretlatch/daemon/caller_server.cpp
+++ b/src/egretlatch/daemon/caller_server.cpp
@@ -23,8 +23,8 @@
 constexpr QLatin1String callPrefix{"/call/"};
 constexpr QLatin1String keysPrefix{"/keys/"};
 constexpr QLatin1String backendPrefix{"/backend/"};
-constexpr settings::Range<std::int64_t> slotsRange{.least = 1, .most = 10'000};
-constexpr settings::Range<std::int64_t> connectionsRange{.least = 1, .most = 100'000};
+constexpr settings::Range<std::int64_t> slotsRange{.min = 1, .max = 10'000};
+constexpr settings::Range<std::int64_t> connectionsRange{.min = 1, .max = 100'000};
 
 [[nodiscard]] static std::string methodName(const QHttpServerRequest::Method method)
 {
@@ -132,12 +132,12 @@
     responder.writeBody(body);
 }
 
-static void writeMistake(QHttpServerResponder responder, const StatusCode status, const std::string &mistake, const Verdict verdict = Verdict::notRun)
+static void writeMistake(QHttpServerResponder responder, const StatusCode status, const std::string &requestError, const Verdict verdict = Verdict::notRun)
 {
     decision::CallerAnswer answer;
     answer.verdict = verdict;
     answer.status = static_cast<int>(status);
-    answer.mistake = mistake;
+    answer.requestError = requestError;
     write(responder, answer.status, problemHeaders(answer), problemBody(answer));
 }
 
@@ -248,9 +248,9 @@
         return false;
     }
     if (!mayRead(request)) {
-        const char *const mistake = m_token->isEmpty() ? "operators cannot read here: the settings name neither operatorTokenFile nor operatorAccess open"
-                                                       : "the page needs the operators' token, as Authorization: Bearer";
-        internal::writeMistake(makeResponder(request, socket), internal::StatusCode::Unauthorized, mistake);
+        const char *const requestError = m_token->isEmpty() ? "operators cannot read here: the settings name neither operatorTokenFile nor operatorAccess open"
+                                                            : "the page needs the operators' token, as Authorization: Bearer";
+        internal::writeMistake(makeResponder(request, socket), internal::StatusCode::Unauthorized, requestError);
         return true;
     }
     if (!isLookup) {
@@ -272,10 +272,10 @@
 
 void CallerServer::handleCall(const QHttpServerRequest &request, QTcpSocket *const socket)
 {
-    const Verdict verdict = retry::verdictUnread(request.value(keyHeader).toStdString());
+    const Verdict verdict = retry::verdictBeforeLookup(request.value(keyHeader).toStdString());
     if (request.body().size() > m_maxBodyBytes) {
-        const std::string mistake = fmt::format("the body is larger than {} bytes", m_maxBodyBytes);
-        internal::writeMistake(makeResponder(request, socket), internal::StatusCode::PayloadTooLarge, mistake, verdict);
+        const std::string requestError = fmt::format("the body is larger than {} bytes", m_maxBodyBytes);
+        internal::writeMistake(makeResponder(request, socket), internal::StatusCode::PayloadTooLarge, requestError, verdict);
         return;
     }
     tl::expected<decision::CallerCall, std::string> call = internal::parseCall(request);
@@ -317,7 +317,7 @@
     }
     decision::CallerAnswer busy;
     busy.status = account::httpStatus(account::RefusalReason::daemonBusy);
-    busy.mistake = "the daemon has more calls waiting than it can look at";
+    busy.requestError = "the daemon has more calls waiting than it can look at";
     answer({.exchange = exchange, .answer = busy});
 }
 
--- a/src/egretlatch/daemon/core_options.cpp
+++ b/src/egretlatch/daemon/core_options.cpp
@@ -45,7 +45,7 @@
     } else {
         builder.setEntryControl(std::make_unique<admission::OpenEntry>());
     }
-    if (options.learnsServers) {
+    if (options.usesAdaptiveRouter) {
         builder.setRouter(std::make_unique<routing::AdaptiveRouter>(random));
     } else {
         builder.setRouter(std::make_unique<routing::LeastLoadedRouter>(random));
--- a/src/egretlatch/daemon/core_options.hpp
+++ b/src/egretlatch/daemon/core_options.hpp
@@ -19,7 +19,7 @@
     /*! @brief Whether roots are refused at their entry by the levels down their chain. */
     bool refusesAtEntry{true};
     /*! @brief Whether servers are chosen by what they have shown of themselves. */
-    bool learnsServers{true};
+    bool usesAdaptiveRouter{true};
 
     friend bool operator==(const AdaptiveOptions &, const AdaptiveOptions &) = default;
 };
--- a/src/egretlatch/daemon/daemon.cpp
+++ b/src/egretlatch/daemon/daemon.cpp
@@ -4,7 +4,7 @@
 
 #include <fmt/format.h>
 
-#include <egretlatch/core/fresh_life.hpp>
+#include <egretlatch/core/new_incarnation.hpp>
 #include <egretlatch/daemon/core_options.hpp>
 
 namespace egretlatch::daemon
@@ -27,8 +27,8 @@
     , m_tokens{std::move(tokens)}
     , m_manifest{std::move(manifest)}
     , m_logger{m_settings.logLevel, m_settings.id.value}
-    , m_random{m_settings.seed.value_or(freshSeed())}
-    , m_incarnation{incarnationAt(m_clock)}
+    , m_random{m_settings.seed.value_or(randomSeed())}
+    , m_incarnation{newIncarnation(m_clock)}
     , m_inward{m_decideWaker}
     , m_peer{m_settings.id, m_incarnation, m_settings.peerKeys, m_inward.fromPeer, m_metrics}
     , m_frontWaker{[this] {
@@ -138,7 +138,7 @@
     if (m_settings.isOpenToOperators) {
         m_logger.warning("operators' reads need no token: operatorAccess is open");
     }
-    if (m_settings.ownsUnnamedKeys) {
+    if (m_settings.ownsKeysWithoutOwner) {
         m_logger.warning("keys without an owner are remembered by this entry alone: a resend to another entry, or after a restart, may run twice");
     }
     m_logger.info("started", {{"callers", m_settings.callerPort}, {"peers", m_settings.peerPort}, {"backend", m_settings.backendUrl}});
@@ -179,7 +179,7 @@
         builder.setKeyGrants({});
         builder.followPlatform();
     }
-    builder.setUnownedKeys(m_settings.ownsUnnamedKeys ? retry::UnownedKeys::entryMemory : retry::UnownedKeys::refuse);
+    builder.setUnownedKeys(m_settings.ownsKeysWithoutOwner ? retry::UnownedKeys::entryMemory : retry::UnownedKeys::refuse);
     applyPolicy(m_settings.policy, m_random, builder);
     return builder.build();
 }
--- a/src/egretlatch/daemon/decide_thread.cpp
+++ b/src/egretlatch/daemon/decide_thread.cpp
@@ -144,11 +144,11 @@
             handle(decision::PlatformAnswered{.id = id, .outcome = tl::unexpected{Error{ErrorCode::unavailable, "the ring to the platform is full"}}});
         }
     } else if (const auto *const inForce = std::get_if<decision::ManifestInForce>(&action)) {
-        m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"bringer", inForce->bringer.value}});
+        m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"bringer", inForce->sourceDaemon.value}});
         isTaken = m_outward.toFront.tryPush(ReadyChanged{.isReady = true});
     } else if (const auto *const changed = std::get_if<decision::MemberChanged>(&action)) {
         m_logger.debug("member changed", {{"member", changed->id.value}, {"state", membership::toString(changed->state)}});
-    } else if (const auto *const heard = std::get_if<decision::DepartureHeard>(&action)) {
+    } else if (const auto *const heard = std::get_if<decision::DepartureReported>(&action)) {
         m_logger.info("departure heard", {{"instance", heard->instance}});
     } else if (std::holds_alternative<decision::Drained>(action)) {
         m_onDrained();
--- a/src/egretlatch/daemon/guarded_tcp_server.cpp
+++ b/src/egretlatch/daemon/guarded_tcp_server.cpp
@@ -17,7 +17,7 @@
 {
     decision::CallerAnswer answer;
     answer.status = payloadTooLarge;
-    answer.mistake = fmt::format("the request is larger than {} bytes", mostBytes);
+    answer.requestError = fmt::format("the request is larger than {} bytes", mostBytes);
     const QByteArray body = problemBody(answer);
     std::string text = "HTTP/1.1 413 Payload Too Large\r\nConnection: close\r\n";
     for (const Header &header : problemHeaders(answer)) {
--- a/src/egretlatch/daemon/peer_thread.cpp
+++ b/src/egretlatch/daemon/peer_thread.cpp
@@ -63,7 +63,7 @@
         while (const std::unique_ptr<decision::SendToPeer> order = outward.tryPop()) {
             m_exchange.send(*order);
         }
-        m_exchange.work();
+        m_exchange.processSockets();
     }
 }
 
--- a/src/egretlatch/daemon/platform_client.cpp
+++ b/src/egretlatch/daemon/platform_client.cpp
@@ -69,7 +69,7 @@
         onOutcome(tl::unexpected{Error{ErrorCode::unavailable, "the settings name no platform"}});
         return;
     }
-    store::RateCap &cap = store::isWrite(request) ? m_writes : m_reads;
+    store::RateLimiter &cap = store::isWrite(request) ? m_writes : m_reads;
     if (!cap.tryTake(std::chrono::steady_clock::now())) {
         onOutcome(tl::unexpected{Error{ErrorCode::rateLimited, "this daemon's share of the platform is used up"}});
         return;
--- a/src/egretlatch/daemon/platform_client.hpp
+++ b/src/egretlatch/daemon/platform_client.hpp
@@ -8,7 +8,7 @@
 
 #include <egretlatch/core/secret.hpp>
 #include <egretlatch/daemon/http_client_pool.hpp>
-#include <egretlatch/store/rate_cap.hpp>
+#include <egretlatch/store/rate_limiter.hpp>
 #include <egretlatch/store/requests.hpp>
 
 namespace egretlatch::daemon
@@ -55,8 +55,8 @@
 private:
     PlatformAccess m_access;
     HttpClientPool m_pool;
-    store::RateCap m_reads;
-    store::RateCap m_writes;
+    store::RateLimiter m_reads;
+    store::RateLimiter m_writes;
 };
 
 } // namespace egretlatch::daemon
--- a/src/egretlatch/daemon/problem_document.cpp
+++ b/src/egretlatch/daemon/problem_document.cpp
@@ -66,7 +66,7 @@
     } else {
         document[u"type"] = u"urn:egretlatch:bad-request"_qs;
         document[u"title"] = u"bad request"_qs;
-        document[u"detail"] = toQt(answer.mistake);
+        document[u"detail"] = toQt(answer.requestError);
     }
     return QJsonDocument{document}.toJson(QJsonDocument::Compact);
 }
--- a/src/egretlatch/daemon/status_document.cpp
+++ b/src/egretlatch/daemon/status_document.cpp
@@ -27,7 +27,7 @@
 [[nodiscard]] static QJsonObject describe(const configuration::Report &report)
 {
     QJsonArray heard;
-    for (const configuration::HeardVersion &other : report.heard) {
+    for (const configuration::ReportedVersion &other : report.heard) {
         heard.append(QJsonObject{
             {u"id"_qs, toQt(other.daemon.value)},
             {u"version"_qs, static_cast<qint64>(other.version)},
--- a/src/egretlatch/decision/action.hpp
+++ b/src/egretlatch/decision/action.hpp
@@ -34,7 +34,7 @@
     std::string service;
     std::string kind;
     /*! @brief Text for people where the request itself was wrong; empty otherwise. */
-    std::string mistake;
+    std::string requestError;
     /*! @brief Key that a resend after `not-run` is to use; empty where the same key, or none, will do. */
     std::string nextKey;
 
@@ -107,10 +107,10 @@
 };
 
 /*! @brief Something was decided about a request on its way that its answer does not show, for the log. */
-struct NoteRequest
+struct LogRequest
 {
     /*! @brief What was decided, in a few words without variable parts. */
-    std::string_view what;
+    std::string_view event;
     std::string requestName;
     std::string service;
     std::string kind;
@@ -141,7 +141,7 @@
     std::uint64_t version{};
     std::string hash;
     /*! @brief Daemon that it came from; empty if it came from the platform or the settings. */
-    DaemonId bringer;
+    DaemonId sourceDaemon;
 };
 
 /*! @brief A member is seen in another state than before, for the log. */
@@ -152,13 +152,13 @@
 };
 
 /*! @brief Another daemon told that the backend server beside this one leaves, for the log. */
-struct DepartureHeard
+struct DepartureReported
 {
     std::string instance;
 };
 
 /*! @brief This daemon goes on under a higher incarnation; what it sends from now on must bear it. */
-struct LifeRaised
+struct IncarnationRaised
 {
     Incarnation from;
     Incarnation to;
@@ -174,13 +174,13 @@
                             StartRun,
                             AbortRun,
                             RecordRefusal,
-                            NoteRequest,
+                            LogRequest,
                             RecordSpan,
                             AskPlatform,
                             ManifestInForce,
                             MemberChanged,
-                            DepartureHeard,
-                            LifeRaised,
+                            DepartureReported,
+                            IncarnationRaised,
                             Drained>;
 using Actions = std::vector<Action>;
 
--- a/src/egretlatch/decision/configuration_outlet.cpp
+++ b/src/egretlatch/decision/configuration_outlet.cpp
@@ -3,7 +3,7 @@
 namespace egretlatch::decision
 {
 
-ConfigurationOutlet::ConfigurationOutlet(Surroundings &surroundings, std::vector<configuration::Peer> contacts)
+ConfigurationOutlet::ConfigurationOutlet(CoreContext &surroundings, std::vector<configuration::Peer> contacts)
     : m_surroundings{surroundings}
     , m_contacts{std::move(contacts)}
 {
@@ -14,7 +14,7 @@
     return m_surroundings.askPlatform(std::move(request));
 }
 
-void ConfigurationOutlet::send(const configuration::Peer &peer, configuration::PeerNews news)
+void ConfigurationOutlet::send(const configuration::Peer &peer, configuration::PeerPayload news)
 {
     const auto toMessage = [](auto &given) {
         return protocol::Message{std::move(given)};
@@ -34,9 +34,9 @@
     return peers.empty() ? m_contacts : peers;
 }
 
-void ConfigurationOutlet::putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &bringer)
+void ConfigurationOutlet::putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &sourceDaemon)
 {
-    m_surroundings.putInForce(version, manifest, bringer);
+    m_surroundings.putInForce(version, manifest, sourceDaemon);
 }
 
 void ConfigurationOutlet::count(const std::string_view what)
--- a/src/egretlatch/decision/configuration_outlet.hpp
+++ b/src/egretlatch/decision/configuration_outlet.hpp
@@ -2,7 +2,7 @@
 #define EGRETLATCH_DECISION_CONFIGURATION_OUTLET_HPP
 
 #include <egretlatch/configuration/outlet.hpp>
-#include <egretlatch/decision/surroundings.hpp>
+#include <egretlatch/decision/core_context.hpp>
 
 namespace egretlatch::decision
 {
@@ -16,16 +16,16 @@
      * @param surroundings State of the core; must outlive the outlet.
      * @param contacts Daemons to turn to while the roster knows none of them.
      */
-    ConfigurationOutlet(Surroundings &surroundings, std::vector<configuration::Peer> contacts);
+    ConfigurationOutlet(CoreContext &surroundings, std::vector<configuration::Peer> contacts);
 
     [[nodiscard]] store::RequestId ask(store::Request request) override;
-    void send(const configuration::Peer &peer, configuration::PeerNews news) override;
+    void send(const configuration::Peer &peer, configuration::PeerPayload news) override;
     [[nodiscard]] std::vector<configuration::Peer> peers() const override;
-    void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &bringer) override;
+    void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &sourceDaemon) override;
     void count(std::string_view what) override;
 
 private:
-    Surroundings &m_surroundings;
+    CoreContext &m_surroundings;
     std::vector<configuration::Peer> m_contacts;
 };
 
--- a/src/egretlatch/decision/core.cpp
+++ b/src/egretlatch/decision/core.cpp
@@ -116,7 +116,7 @@
                        handleManifest(changed);
                    },
                    [&](const ManifestAccepted &accepted) {
-                       m_configuration->takeAccepted(accepted.version, accepted.document, now);
+                       m_configuration->handleAccepted(accepted.version, accepted.document, now);
                    },
                    [&](const PlatformAnswered &answered) {
                        handlePlatform(answered, now);
@@ -171,7 +171,7 @@
 {
     m_surroundings->metrics.count("rumours", membership::toString(rumour.key.kind));
     if (rumour.key.kind == membership::RumourKind::quarantine) {
-        CrashNews{.rumour = rumour}.apply(m_surroundings->suspects, now);
+        CrashReport{.rumour = rumour}.apply(m_surroundings->suspects, now);
     }
     if (const std::optional<std::string> instance = departedBeside(rumour, m_surroundings->self)) {
         handleDepartureNews(*instance, now);
@@ -180,7 +180,7 @@
 
 void Core::tellCrashes(const SteadyTime now)
 {
-    for (const CrashNews &news : m_serving->takeCrashNews()) {
+    for (const CrashReport &news : m_serving->takeCrashNews()) {
         news.apply(m_surroundings->suspects, now);
         m_gossip->spread(news.rumour, now);
     }
@@ -300,7 +300,7 @@
     if (raised == m_surroundings->incarnation) {
         return;
     }
-    m_surroundings->actions.emplace_back(LifeRaised{.from = m_surroundings->incarnation, .to = raised});
+    m_surroundings->actions.emplace_back(IncarnationRaised{.from = m_surroundings->incarnation, .to = raised});
     m_surroundings->incarnation = raised;
 }
 
--- a/src/egretlatch/decision/core.hpp
+++ b/src/egretlatch/decision/core.hpp
@@ -8,11 +8,11 @@
 #include <egretlatch/configuration/report.hpp>
 #include <egretlatch/decision/action.hpp>
 #include <egretlatch/decision/configuration_outlet.hpp>
-#include <egretlatch/decision/door_times.hpp>
+#include <egretlatch/decision/core_context.hpp>
+#include <egretlatch/decision/drain_times.hpp>
 #include <egretlatch/decision/entry_handler.hpp>
 #include <egretlatch/decision/event.hpp>
 #include <egretlatch/decision/serving_handler.hpp>
-#include <egretlatch/decision/surroundings.hpp>
 #include <egretlatch/membership/contact_book.hpp>
 #include <egretlatch/membership/departures.hpp>
 #include <egretlatch/membership/gossip.hpp>
@@ -121,7 +121,7 @@
     [[nodiscard]] bool isIdle() const noexcept;
     [[nodiscard]] Actions deliverToSelf(SteadyTime now);
 
-    std::unique_ptr<Surroundings> m_surroundings;
+    std::unique_ptr<CoreContext> m_surroundings;
     std::unique_ptr<ServingHandler> m_serving;
     std::unique_ptr<EntryHandler> m_entry;
     std::unique_ptr<ConfigurationOutlet> m_configurationOutlet;
@@ -140,7 +140,7 @@
     bool m_isDraining{};
     /*! @brief Whether the daemon was told to end. */
     bool m_isSignalled{};
-    DoorTimes m_doorTimes;
+    DrainTimes m_doorTimes;
     /*! @brief When a backend server that leaves gets no more requests; nothing while it does not leave, or once it gets none. */
     std::optional<SteadyTime> m_doorClosesAt;
     /*! @brief When what still waits for a slot of such a server is refused. */
@@ -223,7 +223,7 @@
      * @param times The times; by default none at all.
      * @return This builder.
      */
-    CoreBuilder &setDoorTimes(const DoorTimes &times);
+    CoreBuilder &setDrainTimes(const DrainTimes &times);
 
     /**
      * @brief Sets what is done with keys that name no owner.
@@ -240,10 +240,10 @@
     CoreBuilder &setDelivery(Delivery delivery);
 
     /**
-     * @brief Lets the daemon go on under a higher incarnation, told by LifeRaised, where its earlier life had one that overrules it.
+     * @brief Lets the daemon go on under a higher incarnation, told by IncarnationRaised, where its earlier life had one that overrules it.
      * @return This builder.
      */
-    CoreBuilder &allowRaise();
+    CoreBuilder &allowIncarnationRaise();
 
     /**
      * @brief Lets the platform's table tell the owners of keys that carry a time; without this, it is not asked.
@@ -277,9 +277,9 @@
     bool m_followsPlatform{};
     bool m_isFed{};
     EntryRules m_entryRules;
-    DoorTimes m_doorTimes;
+    DrainTimes m_doorTimes;
     retry::UnownedKeys m_unownedKeys{retry::UnownedKeys::refuse};
-    Delivery m_delivery{Delivery::severalLives};
+    Delivery m_delivery{Delivery::severalIncarnations};
     bool m_mayRaise{};
     retry::KeyLedgerLimits m_ledgerLimits;
     std::optional<retry::GrantTimes> m_grantTimes;
--- a/src/egretlatch/decision/core_builder.cpp
+++ b/src/egretlatch/decision/core_builder.cpp
@@ -77,7 +77,7 @@
     return *this;
 }
 
-CoreBuilder &CoreBuilder::setDoorTimes(const DoorTimes &times)
+CoreBuilder &CoreBuilder::setDrainTimes(const DrainTimes &times)
 {
     m_doorTimes = times;
     return *this;
@@ -95,7 +95,7 @@
     return *this;
 }
 
-CoreBuilder &CoreBuilder::allowRaise()
+CoreBuilder &CoreBuilder::allowIncarnationRaise()
 {
     m_mayRaise = true;
     return *this;
@@ -125,7 +125,7 @@
         m_gate = std::make_unique<admission::StaticGate>(1, internal::defaultQueueCapacity);
     }
     std::unique_ptr<Core> core{new Core};
-    core->m_surroundings.reset(new Surroundings{
+    core->m_surroundings.reset(new CoreContext{
         .clock = m_clock,
         .random = m_random,
         .metrics = m_metrics,
@@ -145,7 +145,7 @@
         .lastPlatformRequest = {},
     });
     if (m_mayRaise) {
-        core->m_surroundings->roster.allowRaise();
+        core->m_surroundings->roster.allowIncarnationRaise();
     }
     core->m_serving = std::make_unique<ServingHandler>(*core->m_surroundings, std::move(m_gate));
     std::unique_ptr<retry::ShardGrants> grants;
@@ -162,7 +162,7 @@
     core->m_configurationOutlet = std::make_unique<ConfigurationOutlet>(*core->m_surroundings, std::move(peers));
     configuration::FollowerOptions options;
     options.hasPlatform = m_followsPlatform;
-    options.isFed = m_isFed;
+    options.receivesManifests = m_isFed;
     if (m_isFed) {
         options.fanout = internal::fedFanout;
         options.advertInterval = internal::fedAdvertInterval;
--- a/src/egretlatch/decision/surroundings.cpp
+++ b/src/egretlatch/decision/core_context.cpp
@@ -1,14 +1,14 @@
-#include <egretlatch/decision/surroundings.hpp>
+#include <egretlatch/decision/core_context.hpp>
 
 #include <fmt/format.h>
 
 namespace egretlatch::decision
 {
 
-account::Refusal Surroundings::refuse(const account::RefusalReason reason,
-                                      const std::string &rule,
-                                      std::vector<account::Figure> figures,
-                                      const std::chrono::milliseconds retryAfter)
+account::Refusal CoreContext::refuse(const account::RefusalReason reason,
+                                     const std::string &rule,
+                                     std::vector<account::Figure> figures,
+                                     const std::chrono::milliseconds retryAfter)
 {
     return {
         .id = mint.mint(clock.wallNow()),
@@ -20,12 +20,12 @@
     };
 }
 
-const manifest::KindSpec *Surroundings::findKind(const std::string &service, const std::string &kind) const
+const manifest::KindSpec *CoreContext::findKind(const std::string &service, const std::string &kind) const
 {
     return manifest == nullptr ? nullptr : manifest->findKind(service, kind);
 }
 
-void Surroundings::putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &configuration, const DaemonId &bringer)
+void CoreContext::putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &configuration, const DaemonId &sourceDaemon)
 {
     // A configuration that arrives late, or again, must not undo a newer one, so only a higher version is taken.
     const bool isOutdated = manifest != nullptr && version <= manifestVersion;
@@ -35,10 +35,10 @@
     manifestVersion = version;
     manifest = configuration;
     entryControl->setManifest(configuration);
-    actions.emplace_back(ManifestInForce{.version = version, .hash = configuration->hash(), .bringer = bringer});
+    actions.emplace_back(ManifestInForce{.version = version, .hash = configuration->hash(), .sourceDaemon = sourceDaemon});
 }
 
-store::RequestId Surroundings::askPlatform(store::Request request)
+store::RequestId CoreContext::askPlatform(store::Request request)
 {
     ++lastPlatformRequest.value;
     actions.emplace_back(AskPlatform{.id = lastPlatformRequest, .request = std::move(request)});
--- a/src/egretlatch/decision/surroundings.hpp
+++ b/src/egretlatch/decision/core_context.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_DECISION_SURROUNDINGS_HPP
-#define EGRETLATCH_DECISION_SURROUNDINGS_HPP
+#ifndef EGRETLATCH_DECISION_CORE_CONTEXT_HPP
+#define EGRETLATCH_DECISION_CORE_CONTEXT_HPP
 
 #include <memory>
 
@@ -21,7 +21,7 @@
 {
 
 /*! @brief What both halves of the decision core share; owned by the core. */
-struct Surroundings
+struct CoreContext
 {
     const Clock &clock;
     RandomSource &random;
@@ -68,7 +68,7 @@
      * @param configuration The manifest.
      * @param bringer Daemon that it came from; empty if it came from the platform or the settings.
      */
-    void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &configuration, const DaemonId &bringer = {});
+    void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &configuration, const DaemonId &sourceDaemon = {});
 
     /**
      * @brief Asks the platform.
--- a/src/egretlatch/decision/core_server.cpp
+++ b/src/egretlatch/decision/core_server.cpp
@@ -95,7 +95,7 @@
     if (!m_departures.note(instance)) {
         return;
     }
-    m_surroundings->actions.emplace_back(DepartureHeard{.instance = instance});
+    m_surroundings->actions.emplace_back(DepartureReported{.instance = instance});
     if (!m_server.has_value() || m_server->instance != instance) {
         return;
     }
--- a/src/egretlatch/decision/crash_witness.cpp
+++ b/src/egretlatch/decision/crash_detector.cpp
@@ -1,4 +1,4 @@
-#include <egretlatch/decision/crash_witness.hpp>
+#include <egretlatch/decision/crash_detector.hpp>
 
 namespace egretlatch::decision
 {
@@ -13,7 +13,7 @@
 
 } // namespace internal
 
-void CrashWitness::noteLost(const admission::RequestFingerprint request, const SteadyTime now)
+void CrashDetector::noteLost(const admission::RequestFingerprint request, const SteadyTime now)
 {
     while (!m_lost.empty() && now - m_lost.front().first > internal::longestAbsence) {
         m_lost.pop_front();
@@ -21,17 +21,17 @@
     m_lost.emplace_back(now, request);
 }
 
-std::vector<admission::RequestFingerprint> CrashWitness::noteNeverConnected(const SteadyTime now)
+std::vector<admission::RequestFingerprint> CrashDetector::noteNeverConnected(const SteadyTime now)
 {
     return takeLost(internal::longestBetween, now);
 }
 
-std::vector<admission::RequestFingerprint> CrashWitness::noteReplaced(const SteadyTime now)
+std::vector<admission::RequestFingerprint> CrashDetector::noteReplaced(const SteadyTime now)
 {
     return takeLost(internal::longestAbsence, now);
 }
 
-std::vector<admission::RequestFingerprint> CrashWitness::takeLost(const Duration longestAgo, const SteadyTime now)
+std::vector<admission::RequestFingerprint> CrashDetector::takeLost(const Duration longestAgo, const SteadyTime now)
 {
     std::vector<admission::RequestFingerprint> running;
     for (const auto &[when, request] : m_lost) {
--- a/src/egretlatch/decision/crash_witness.hpp
+++ b/src/egretlatch/decision/crash_detector.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_DECISION_CRASH_WITNESS_HPP
-#define EGRETLATCH_DECISION_CRASH_WITNESS_HPP
+#ifndef EGRETLATCH_DECISION_CRASH_DETECTOR_HPP
+#define EGRETLATCH_DECISION_CRASH_DETECTOR_HPP
 
 #include <deque>
 #include <utility>
@@ -16,7 +16,7 @@
  * A server that crashes breaks all connections and then takes none, and comes back as another instance, while one that
  * loses answers goes on.
  */
-class CrashWitness
+class CrashDetector
 {
 public:
     /**
--- a/src/egretlatch/decision/crash_news.cpp
+++ b/src/egretlatch/decision/crash_report.cpp
@@ -1,4 +1,4 @@
-#include <egretlatch/decision/crash_news.hpp>
+#include <egretlatch/decision/crash_report.hpp>
 
 #include <string_view>
 
@@ -13,34 +13,36 @@
 constexpr std::string_view crash = "crash";
 constexpr std::string_view well = "well";
 
-[[nodiscard]] static CrashNews newsOf(const std::string_view what,
-                                      const DaemonId &daemon,
-                                      const Incarnation incarnation,
-                                      const std::uint64_t number,
-                                      const std::vector<admission::RequestFingerprint> &requests)
+[[nodiscard]] static CrashReport newsOf(const std::string_view what,
+                                        const DaemonId &daemon,
+                                        const Incarnation incarnation,
+                                        const std::uint64_t number,
+                                        const std::vector<admission::RequestFingerprint> &requests)
 {
     return {.rumour = {
                 .key = {.kind = membership::RumourKind::quarantine, .key = fmt::format("{}/{}/{:x}/{}", what, daemon.value, incarnation.value, number)},
                 .version = 1,
                 .payload = admission::toBytes(requests),
-                .remaining = admission::CrashSuspects::crashLife,
+                .remaining = admission::CrashSuspects::crashLifetime,
             }};
 }
 
 } // namespace internal
 
-CrashNews
-CrashNews::crashed(const DaemonId &daemon, const Incarnation incarnation, const std::uint64_t number, const std::vector<admission::RequestFingerprint> &running)
+CrashReport CrashReport::crashed(const DaemonId &daemon,
+                                 const Incarnation incarnation,
+                                 const std::uint64_t number,
+                                 const std::vector<admission::RequestFingerprint> &running)
 {
     return internal::newsOf(internal::crash, daemon, incarnation, number, running);
 }
 
-CrashNews CrashNews::ranWell(const DaemonId &daemon, const Incarnation incarnation, const std::uint64_t number, const admission::RequestFingerprint request)
+CrashReport CrashReport::ranWell(const DaemonId &daemon, const Incarnation incarnation, const std::uint64_t number, const admission::RequestFingerprint request)
 {
     return internal::newsOf(internal::well, daemon, incarnation, number, {request});
 }
 
-void CrashNews::apply(admission::CrashSuspects &suspects, const SteadyTime now) const
+void CrashReport::apply(admission::CrashSuspects &suspects, const SteadyTime now) const
 {
     const std::vector<admission::RequestFingerprint> requests = admission::fingerprintsFrom(rumour.payload);
     if (rumour.key.key.starts_with(internal::crash)) {
@@ -48,7 +50,7 @@
         return;
     }
     for (const admission::RequestFingerprint request : requests) {
-        suspects.noteGoodElsewhere(request, now);
+        suspects.noteRemoteSuccess(request, now);
     }
 }
 
--- a/src/egretlatch/decision/crash_news.hpp
+++ b/src/egretlatch/decision/crash_report.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_DECISION_CRASH_NEWS_HPP
-#define EGRETLATCH_DECISION_CRASH_NEWS_HPP
+#ifndef EGRETLATCH_DECISION_CRASH_REPORT_HPP
+#define EGRETLATCH_DECISION_CRASH_REPORT_HPP
 
 #include <cstdint>
 #include <vector>
@@ -12,7 +12,7 @@
 {
 
 /*! @brief What daemons tell one another of requests that crash backend servers. */
-struct CrashNews
+struct CrashReport
 {
     membership::Rumour rumour;
 
@@ -24,7 +24,7 @@
      * @param running What ran at the server.
      * @return The news.
      */
-    [[nodiscard]] static CrashNews
+    [[nodiscard]] static CrashReport
     crashed(const DaemonId &daemon, Incarnation incarnation, std::uint64_t number, const std::vector<admission::RequestFingerprint> &running);
 
     /**
@@ -35,7 +35,7 @@
      * @param request The request.
      * @return The news.
      */
-    [[nodiscard]] static CrashNews ranWell(const DaemonId &daemon, Incarnation incarnation, std::uint64_t number, admission::RequestFingerprint request);
+    [[nodiscard]] static CrashReport ranWell(const DaemonId &daemon, Incarnation incarnation, std::uint64_t number, admission::RequestFingerprint request);
 
     /**
      * @brief Takes the news into what is known.
--- a/src/egretlatch/decision/departure_news.cpp
+++ b/src/egretlatch/decision/departure_news.cpp
@@ -14,7 +14,7 @@
 membership::Rumour departureNews(const DaemonId &daemon, const std::string &instance)
 {
     return {
-        .key = {.kind = membership::RumourKind::departure, .key = membership::keyOf(daemon, instance)},
+        .key = {.kind = membership::RumourKind::departure, .key = membership::daemonRumourKey(daemon, instance)},
         .version = 1,
         .payload = {},
         .remaining = internal::departureLife,
@@ -23,7 +23,7 @@
 
 std::optional<std::string> departedBeside(const membership::Rumour &rumour, const DaemonId &daemon)
 {
-    const std::string prefix = membership::keyOf(daemon, {});
+    const std::string prefix = membership::daemonRumourKey(daemon, {});
     if (rumour.key.kind != membership::RumourKind::departure || !rumour.key.key.starts_with(prefix)) {
         return std::nullopt;
     }
--- a/src/egretlatch/decision/door_times.hpp
+++ b/src/egretlatch/decision/drain_times.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_DECISION_DOOR_TIMES_HPP
-#define EGRETLATCH_DECISION_DOOR_TIMES_HPP
+#ifndef EGRETLATCH_DECISION_DRAIN_TIMES_HPP
+#define EGRETLATCH_DECISION_DRAIN_TIMES_HPP
 
 #include <egretlatch/core/clock.hpp>
 
@@ -13,7 +13,7 @@
  * door would turn away what they had sent meanwhile, and a service whose last server leaves would have none sooner than
  * it must.
  */
-struct DoorTimes
+struct DrainTimes
 {
     /*! @brief From the server's own word. */
     Duration afterReport{};
@@ -22,7 +22,7 @@
     /*! @brief From the server's own word to the last start of what has waited at its door; zero for no such bound. */
     Duration lastStart{};
 
-    friend bool operator==(const DoorTimes &, const DoorTimes &) = default;
+    friend bool operator==(const DrainTimes &, const DrainTimes &) = default;
 };
 
 } // namespace egretlatch::decision
--- a/src/egretlatch/decision/entry_answers.cpp
+++ b/src/egretlatch/decision/entry_answers.cpp
@@ -89,7 +89,7 @@
 void EntryHandler::finishRefused(Pending pending, account::Refusal refusal, const SteadyTime now)
 {
     CallerAnswer answer;
-    answer.verdict = retry::verdictOnKey(pending.knowledge, pending.verdict);
+    answer.verdict = retry::verdictForKey(pending.knowledge, pending.verdict);
     answer.status = account::httpStatus(refusal.reason);
     answer.refusal = std::move(refusal);
     answer.nextKey = pending.nextKey;
--- a/src/egretlatch/decision/entry_attempts.cpp
+++ b/src/egretlatch/decision/entry_attempts.cpp
@@ -77,10 +77,10 @@
     return request;
 }
 
-void EntryHandler::note(const std::string_view what, const Pending &pending, const protocol::CallAnswer &answer, const SteadyTime now)
+void EntryHandler::note(const std::string_view event, const Pending &pending, const protocol::CallAnswer &answer, const SteadyTime now)
 {
-    m_surroundings.actions.emplace_back(NoteRequest{
-        .what = what,
+    m_surroundings.actions.emplace_back(LogRequest{
+        .event = event,
         .requestName = pending.call.requestName,
         .service = pending.call.service,
         .kind = pending.call.kind,
@@ -198,7 +198,7 @@
     }
     control.noteChain({pending.call.service, pending.call.kind}, answer.chain);
     for (const protocol::ServiceLevel &level : answer.levels) {
-        control.noteLevel({.service = level.service, .noted = {.level = level.level, .at = now - level.age}});
+        control.noteLevel({.service = level.service, .reported = {.level = level.level, .at = now - level.age}});
     }
 }
 
@@ -209,7 +209,7 @@
     const std::size_t daemons = m_surroundings.roster.participants().size() + 1;
     if (m_rules.retrySlack.has_value() && daemons != m_daemons) {
         m_daemons = daemons;
-        m_ratio.setMostSaved(daemons < 2 ? 0.0 : *m_rules.retrySlack / static_cast<double>(daemons));
+        m_ratio.setMaxSaved(daemons < 2 ? 0.0 : *m_rules.retrySlack / static_cast<double>(daemons));
     }
 }
 
--- a/src/egretlatch/decision/entry_handler.cpp
+++ b/src/egretlatch/decision/entry_handler.cpp
@@ -40,7 +40,7 @@
 
 } // namespace internal
 
-EntryHandler::EntryHandler(Surroundings &surroundings,
+EntryHandler::EntryHandler(CoreContext &surroundings,
                            ServingHandler &serving,
                            const retry::KeyLedgerLimits ledgerLimits,
                            std::unique_ptr<retry::ShardGrants> grants)
@@ -68,15 +68,15 @@
     return std::nullopt;
 }
 
-void EntryHandler::answerMistake(const ExchangeId exchange, const CallerCall &call, const int status, std::string mistake)
+void EntryHandler::answerMistake(const ExchangeId exchange, const CallerCall &call, const int status, std::string requestError)
 {
     CallerAnswer answer;
     // An earlier attempt with the key may have been made where the mistake was not one, or not seen.
-    answer.verdict = retry::verdictUnread(call.key);
+    answer.verdict = retry::verdictBeforeLookup(call.key);
     answer.status = status;
     answer.service = call.service;
     answer.kind = call.kind;
-    answer.mistake = std::move(mistake);
+    answer.requestError = std::move(requestError);
     m_surroundings.actions.emplace_back(AnswerCaller{exchange, std::move(answer)});
 }
 
@@ -88,8 +88,8 @@
         answerMistake(arrived.exchange, call, internal::notFound, fmt::format("no service and kind {}/{} is declared", call.service, call.kind));
         return;
     }
-    if (const std::optional<std::string> mistake = mistakeOf(call, !call.runToken.empty())) {
-        answerMistake(arrived.exchange, call, internal::badRequest, *mistake);
+    if (const std::optional<std::string> requestError = mistakeOf(call, !call.runToken.empty())) {
+        answerMistake(arrived.exchange, call, internal::badRequest, *requestError);
         return;
     }
     std::optional<InnerContext> inner;
@@ -140,7 +140,7 @@
         if (pending.isOfRepeat) {
             m_ratio.charge(service->name);
         } else {
-            m_ratio.noteFirst(service->name, service->retryRatio);
+            m_ratio.noteFirstAttempt(service->name, service->retryRatio);
         }
     }
     makeAttempt(std::move(pending), now);
--- a/src/egretlatch/decision/entry_handler.hpp
+++ b/src/egretlatch/decision/entry_handler.hpp
@@ -9,11 +9,11 @@
 #include <utility>
 #include <vector>
 
+#include <egretlatch/decision/core_context.hpp>
 #include <egretlatch/decision/entry_rules.hpp>
 #include <egretlatch/decision/event.hpp>
 #include <egretlatch/decision/requester.hpp>
 #include <egretlatch/decision/serving_handler.hpp>
-#include <egretlatch/decision/surroundings.hpp>
 #include <egretlatch/protocol/messages.hpp>
 #include <egretlatch/retry/key_ledger.hpp>
 #include <egretlatch/retry/preferred_shards.hpp>
@@ -36,7 +36,7 @@
      * @param ledgerLimits How much is remembered of request keys.
      * @param grants Tells the owners of keys that name none; null without a platform.
      */
-    EntryHandler(Surroundings &surroundings, ServingHandler &serving, retry::KeyLedgerLimits ledgerLimits, std::unique_ptr<retry::ShardGrants> grants);
+    EntryHandler(CoreContext &surroundings, ServingHandler &serving, retry::KeyLedgerLimits ledgerLimits, std::unique_ptr<retry::ShardGrants> grants);
 
     /**
      * @brief Takes a call.
@@ -199,7 +199,7 @@
     static constexpr std::size_t mostMoves = 4;
 
     [[nodiscard]] std::optional<std::string> mistakeOf(const CallerCall &call, bool isInner) const;
-    void answerMistake(ExchangeId exchange, const CallerCall &call, int status, std::string mistake);
+    void answerMistake(ExchangeId exchange, const CallerCall &call, int status, std::string requestError);
     [[nodiscard]] bool isQuarantined(const Pending &pending, SteadyTime now) const;
     void admit(Pending pending, SteadyTime now);
     void findOwner(Pending pending, const std::optional<InnerContext> &inner, SteadyTime now);
@@ -209,7 +209,7 @@
     void shareRetrySlack();
     void own(Pending pending, const retry::RequestKey &key, SteadyTime now);
     void ownUnnamed(Pending pending, SteadyTime now);
-    void answerFinding(Pending pending, const retry::KeyFinding &finding, SteadyTime now);
+    void answerFinding(Pending pending, const retry::KeyLookup &finding, SteadyTime now);
     [[nodiscard]] bool inheritAttempts(Pending &pending, const retry::RequestKey &key, std::uint64_t request);
     void beginOwned(Pending pending, std::chrono::milliseconds age, std::uint64_t request, SteadyTime now);
     void forward(Pending pending, const retry::KeyOwner &owner, SteadyTime now);
@@ -229,7 +229,7 @@
     void makeAttempt(Pending pending, SteadyTime now);
     void endAttempt(const Pending &pending, const routing::AttemptResult &result, const protocol::CallAnswer *answer, SteadyTime now);
     void noteAnswer(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
-    void note(std::string_view what, const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
+    void note(std::string_view event, const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
     [[nodiscard]] bool mayMoveOn(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now) const;
     [[nodiscard]] bool mayTryElsewhere(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
     [[nodiscard]] bool takeRetry(const Pending &pending, const protocol::CallAnswer &answer, SteadyTime now);
@@ -239,7 +239,7 @@
     void giveUp(PendingMap::iterator found, account::RefusalReason reason, const std::string &rule, SteadyTime now);
     [[nodiscard]] Pending take(PendingMap::iterator found);
 
-    Surroundings &m_surroundings;
+    CoreContext &m_surroundings;
     ServingHandler &m_serving;
     PendingMap m_pending;
     std::map<ExchangeId, CallId> m_byExchange;
--- a/src/egretlatch/decision/entry_keys.cpp
+++ b/src/egretlatch/decision/entry_keys.cpp
@@ -48,18 +48,18 @@
     return key.has_value() && attemptsLeft > 0 ? key->next().text() : std::string{};
 }
 
-[[nodiscard]] static std::string ruleOf(const retry::KeyStanding standing)
+[[nodiscard]] static std::string ruleOf(const retry::KeyState state)
 {
-    switch (standing) {
-    case retry::KeyStanding::answerDropped:
+    switch (state) {
+    case retry::KeyState::answerDropped:
         return "the request has completed; its answer is no longer held";
-    case retry::KeyStanding::closed:
+    case retry::KeyState::closed:
         return "an attempt with this key was refused as not run, which closed the key; resend with Egretlatch-Next-Key";
-    case retry::KeyStanding::uncertain:
+    case retry::KeyState::uncertain:
         return "an attempt with this key ended without proof that it did not run";
-    case retry::KeyStanding::forgotten:
+    case retry::KeyState::forgotten:
         return "the key is older than what is remembered of request keys";
-    case retry::KeyStanding::mismatched:
+    case retry::KeyState::mismatched:
         return "the key was sent with another request before";
     default:
         return "the key has been used";
@@ -75,7 +75,7 @@
     answer.kind = requested.kind;
     if (m_surroundings.manifest == nullptr || m_surroundings.manifest->findKind(requested.service, requested.kind) == nullptr) {
         answer.status = internal::notFoundStatus;
-        answer.mistake = fmt::format("no service and kind {}/{} is declared", requested.service, requested.kind);
+        answer.requestError = fmt::format("no service and kind {}/{} is declared", requested.service, requested.kind);
     } else if (isDraining) {
         // The key's owner would soon be gone, and its requests refused as may-have-run.
         answer.refusal = m_surroundings.refuse(account::RefusalReason::draining, "a daemon that is leaving mints no keys");
@@ -166,14 +166,14 @@
 {
     const std::uint64_t request = internal::hashOf(pending.call);
     pending.knowledge = retry::KeyKnowledge::owner;
-    retry::KeyFinding finding = m_ledger.find(pending.call.key, ageOf(now), request);
-    if (finding.standing == retry::KeyStanding::closed && finding.attemptsLeft > 0) {
+    retry::KeyLookup finding = m_ledger.find(pending.call.key, ageOf(now), request);
+    if (finding.state == retry::KeyState::closed && finding.attemptsLeft > 0) {
         pending.attemptsLeft = std::min(pending.attemptsLeft, finding.attemptsLeft - 1);
         m_ledger.reopen(pending.call.key);
-        finding = {.standing = retry::KeyStanding::fresh};
+        finding = {.state = retry::KeyState::fresh};
     }
     // A key that carries no age counts as new when it is not known; that is what makes this rule unsafe in general.
-    if (finding.standing == retry::KeyStanding::fresh || finding.standing == retry::KeyStanding::forgotten) {
+    if (finding.state == retry::KeyState::fresh || finding.state == retry::KeyState::forgotten) {
         beginOwned(std::move(pending), ageOf(now), request, now);
         return;
     }
@@ -197,8 +197,8 @@
     }
     pending.isGranted = key.uuid().has_value();
     retry::KeyLedger &ledger = ledgerOf(pending);
-    const retry::KeyFinding finding = ledger.find(key.text(), key.age(), request);
-    if (finding.standing != retry::KeyStanding::fresh) {
+    const retry::KeyLookup finding = ledger.find(key.text(), key.age(), request);
+    if (finding.state != retry::KeyState::fresh) {
         answerFinding(std::move(pending), finding, now);
         return;
     }
@@ -207,7 +207,7 @@
         return;
     }
     // A key whose predecessor still runs is not closed by this refusal, so it might run later.
-    const bool isSpent = ledger.find(key.previous()->text(), key.age(), request).standing == retry::KeyStanding::closed;
+    const bool isSpent = ledger.find(key.previous()->text(), key.age(), request).state == retry::KeyState::closed;
     pending.verdict = isSpent ? Verdict::notRun : Verdict::mayHaveRun;
     const std::string rule = "the resends of this request are used up, or the key before this one was not refused as not run";
     finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::retryBudgetSpent, rule), now);
@@ -219,8 +219,8 @@
     if (!previous.has_value()) {
         return true;
     }
-    const retry::KeyFinding before = ledgerOf(pending).find(previous->text(), previous->age(), request);
-    if (before.standing != retry::KeyStanding::closed || before.attemptsLeft <= 0) {
+    const retry::KeyLookup before = ledgerOf(pending).find(previous->text(), previous->age(), request);
+    if (before.state != retry::KeyState::closed || before.attemptsLeft <= 0) {
         return false;
     }
     // A resend by the caller is one more attempt of the same request, paid from what the last one left over.
@@ -235,28 +235,28 @@
     admit(std::move(pending), now);
 }
 
-void EntryHandler::answerFinding(Pending pending, const retry::KeyFinding &finding, const SteadyTime now)
+void EntryHandler::answerFinding(Pending pending, const retry::KeyLookup &finding, const SteadyTime now)
 {
-    switch (finding.standing) {
-    case retry::KeyStanding::running:
+    switch (finding.state) {
+    case retry::KeyState::running:
         join(std::move(pending));
         return;
-    case retry::KeyStanding::answered:
+    case retry::KeyState::answered:
         m_surroundings.metrics.count("key_replays", pending.call.service);
         finish(std::move(pending), internal::replay(*finding.answer), now);
         return;
-    case retry::KeyStanding::closed:
+    case retry::KeyState::closed:
         pending.verdict = Verdict::notRun;
         pending.nextKey = internal::nextKeyOf(pending.call.key, finding.attemptsLeft);
         break;
-    case retry::KeyStanding::mismatched:
+    case retry::KeyState::mismatched:
         pending.verdict = finding.verdict;
         break;
     default:
         pending.verdict = Verdict::mayHaveRun;
         break;
     }
-    finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyAlreadyUsed, internal::ruleOf(finding.standing)), now);
+    finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyAlreadyUsed, internal::ruleOf(finding.state)), now);
 }
 
 void EntryHandler::forward(Pending pending, const retry::KeyOwner &owner, const SteadyTime now)
@@ -345,7 +345,7 @@
     });
     for (store::Request &request : requests) {
         const store::RequestId id = m_surroundings.askPlatform(request);
-        m_grants->noteAsked(id, request);
+        m_grants->noteRequestSent(id, request);
     }
 }
 
--- a/src/egretlatch/decision/fwd.hpp
+++ b/src/egretlatch/decision/fwd.hpp
@@ -10,7 +10,7 @@
 struct RunAnswer;
 struct RefusalRecord;
 struct PeerCall;
-struct Surroundings;
+struct CoreContext;
 
 enum class Delivery;
 enum class RunFailure;
--- a/src/egretlatch/decision/serving_handler.cpp
+++ b/src/egretlatch/decision/serving_handler.cpp
@@ -24,7 +24,7 @@
     return std::get<RunFailure>(result) == RunFailure::rejected ? admission::RunOutcome::rejected : admission::RunOutcome::lost;
 }
 
-[[nodiscard]] static protocol::CallAnswer answerOf(const std::variant<RunAnswer, RunFailure> &result, Surroundings &surroundings)
+[[nodiscard]] static protocol::CallAnswer answerOf(const std::variant<RunAnswer, RunFailure> &result, CoreContext &surroundings)
 {
     protocol::CallAnswer answer;
     if (const auto *const given = std::get_if<RunAnswer>(&result)) {
@@ -56,7 +56,7 @@
 
 } // namespace internal
 
-ServingHandler::ServingHandler(Surroundings &surroundings, std::unique_ptr<admission::Gate> gate)
+ServingHandler::ServingHandler(CoreContext &surroundings, std::unique_ptr<admission::Gate> gate)
     : m_surroundings{surroundings}
     , m_gate{std::move(gate)}
 {
@@ -74,7 +74,7 @@
     // A transport that delivers a message twice would start a request twice, or start one that was refused as not run.
     // The second copy names the same call of the same incarnation, so it is told from a retry, which has a call id of its
     // own. It stands before all refusals: a call id that was refused is spent.
-    if (!m_window.pass(from, incarnation, request.call)) {
+    if (!m_window.accept(from, incarnation, request.call)) {
         m_surroundings.metrics.count("messages_dropped", "duplicate-request");
         return;
     }
@@ -210,7 +210,7 @@
     }
     // A run that failed may have ended before it made all its calls.
     if (outcome == admission::RunOutcome::succeeded) {
-        m_paces.noteEnded(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
+        m_paces.noteCompleted(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
         m_surroundings.entryControl->noteRun({
             .kind = {attempt.request.service, attempt.request.kind},
             .calls = attempt.innerCalls,
@@ -289,7 +289,7 @@
 void ServingHandler::refuse(const ExecutionId execution, const admission::GateRefusal &refusal, const SteadyTime now)
 {
     protocol::CallAnswer refused;
-    refused.verdict = retry::verdictOf(retry::AttemptEnd::leftQueue);
+    refused.verdict = retry::verdictOf(retry::AttemptEnd::removedFromQueue);
     refused.refusal = m_surroundings.refuse(refusal.reason, refusal.rule, refusal.figures, refusal.retryAfter);
     refused.status = account::httpStatus(refusal.reason);
     answer(execution, std::move(refused), now);
@@ -298,7 +298,7 @@
 void ServingHandler::refuseAtOnce(const Origin &origin, const protocol::CallRequest &request, const admission::GateRefusal &refusal, const SteadyTime now)
 {
     protocol::CallAnswer refused;
-    refused.verdict = retry::verdictOf(retry::AttemptEnd::refusedAtDoor);
+    refused.verdict = retry::verdictOf(retry::AttemptEnd::refusedOnArrival);
     refused.refusal = m_surroundings.refuse(refusal.reason, refusal.rule, refusal.figures, refusal.retryAfter);
     refused.status = account::httpStatus(refusal.reason);
     refused.attemptsReturned = request.attemptsLent;
@@ -308,8 +308,8 @@
 void ServingHandler::refuseStranger(const Origin &origin, const SteadyTime now)
 {
     protocol::CallAnswer refused;
-    const bool isUnheard = m_surroundings.delivery == Delivery::oneLife;
-    refused.verdict = retry::verdictOf(isUnheard ? retry::AttemptEnd::missedEarlierLife : retry::AttemptEnd::meantForEarlierLife);
+    const bool isUnheard = m_surroundings.delivery == Delivery::oneIncarnation;
+    refused.verdict = retry::verdictOf(isUnheard ? retry::AttemptEnd::missedEarlierIncarnation : retry::AttemptEnd::meantForEarlierIncarnation);
     refused.refusal = m_surroundings.refuse(account::RefusalReason::serverLost, "the request was meant for an earlier life of this daemon");
     refused.status = account::httpStatus(refused.refusal->reason);
     send(origin, std::move(refused), now);
@@ -321,8 +321,8 @@
     answer.call = call;
     answer.receiver = incarnation;
     answer.load = load(now);
-    for (const admission::ServiceNews &news : m_surroundings.entryControl->levelsBelow(m_surroundings.roster.self().service, now)) {
-        answer.levels.push_back({.service = news.service, .level = news.noted.level, .age = now - news.noted.at});
+    for (const admission::ServiceLevelReport &news : m_surroundings.entryControl->downstreamLevels(m_surroundings.roster.self().service, now)) {
+        answer.levels.push_back({.service = news.service, .level = news.reported.level, .age = now - news.reported.at});
     }
     // The way back is the connection that the request came by, so an unknown endpoint does not matter.
     m_surroundings.actions.emplace_back(SendToPeer{.to = daemon, .endpoint = {}, .message = std::move(answer)});
@@ -373,12 +373,12 @@
     abandoned.refusal = m_surroundings.refuse(reason, isLeaving ? "the backend server is leaving" : "nobody waits for the answer any more");
     abandoned.status = account::httpStatus(abandoned.refusal->reason);
     if (!attempt.started.has_value()) {
-        abandoned.verdict = retry::verdictOf(m_gate->withdraw(execution) ? retry::AttemptEnd::leftQueue : retry::AttemptEnd::aborted);
+        abandoned.verdict = retry::verdictOf(m_gate->withdraw(execution) ? retry::AttemptEnd::removedFromQueue : retry::AttemptEnd::aborted);
         answer(execution, std::move(abandoned), now);
         return;
     }
     abandoned.verdict = retry::verdictOf(retry::AttemptEnd::aborted);
-    m_paces.noteCutShort(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
+    m_paces.noteAbandoned(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
     m_surroundings.actions.emplace_back(AbortRun{.execution = execution});
     const admission::Observation observation{
         .outcome = admission::RunOutcome::abandoned, .latency = now - *attempt.started, .waitedForInner = attempt.innerWait};
--- a/src/egretlatch/decision/serving_handler.hpp
+++ b/src/egretlatch/decision/serving_handler.hpp
@@ -9,12 +9,12 @@
 
 #include <egretlatch/admission/gate.hpp>
 #include <egretlatch/admission/pace_meter.hpp>
-#include <egretlatch/decision/crash_news.hpp>
-#include <egretlatch/decision/crash_witness.hpp>
+#include <egretlatch/decision/core_context.hpp>
+#include <egretlatch/decision/crash_detector.hpp>
+#include <egretlatch/decision/crash_report.hpp>
 #include <egretlatch/decision/event.hpp>
-#include <egretlatch/decision/surroundings.hpp>
 #include <egretlatch/protocol/messages.hpp>
-#include <egretlatch/retry/call_window.hpp>
+#include <egretlatch/retry/replay_window.hpp>
 
 namespace egretlatch::decision
 {
@@ -55,7 +55,7 @@
      * @param surroundings What it shares with the rest of the core; must outlive it.
      * @param gate Decides what runs, and when.
      */
-    ServingHandler(Surroundings &surroundings, std::unique_ptr<admission::Gate> gate);
+    ServingHandler(CoreContext &surroundings, std::unique_ptr<admission::Gate> gate);
 
     /**
      * @brief Takes an attempt.
@@ -152,7 +152,7 @@
      * @brief Takes what other daemons should hear of requests that crash servers.
      * @return What is new since the last call.
      */
-    [[nodiscard]] std::vector<CrashNews> takeCrashNews()
+    [[nodiscard]] std::vector<CrashReport> takeCrashNews()
     {
         return std::exchange(m_crashNews, {});
     }
@@ -234,15 +234,15 @@
     [[nodiscard]] admission::RequestFingerprint fingerprint(const Attempt &attempt) const;
     [[nodiscard]] std::string tokenOf(ExecutionId execution) const;
 
-    Surroundings &m_surroundings;
+    CoreContext &m_surroundings;
     std::unique_ptr<admission::Gate> m_gate;
     std::map<ExecutionId, Attempt> m_attempts;
     std::map<Origin, ExecutionId> m_byOrigin;
     std::map<std::string, ExecutionId> m_byName;
-    retry::CallWindow m_window;
+    retry::ReplayWindow m_window;
     admission::PaceMeter m_paces;
-    CrashWitness m_witness;
-    std::vector<CrashNews> m_crashNews;
+    CrashDetector m_witness;
+    std::vector<CrashReport> m_crashNews;
     std::uint64_t m_lastCrashNews{};
     std::uint64_t m_lastExecution{};
     std::uint64_t m_answers{};
--- a/src/egretlatch/decision/serving_runs.cpp
+++ b/src/egretlatch/decision/serving_runs.cpp
@@ -125,8 +125,8 @@
         return;
     }
     const admission::RequestFingerprint request = fingerprint(attempt);
-    if (m_surroundings.suspects.noteGood(request)) {
-        m_crashNews.push_back(CrashNews::ranWell(m_surroundings.self, m_surroundings.incarnation, ++m_lastCrashNews, request));
+    if (m_surroundings.suspects.noteSuccess(request)) {
+        m_crashNews.push_back(CrashReport::ranWell(m_surroundings.self, m_surroundings.incarnation, ++m_lastCrashNews, request));
     }
 }
 
@@ -140,7 +140,7 @@
 {
     if (!running.empty()) {
         m_surroundings.metrics.count("server_crashes", m_surroundings.roster.self().service);
-        m_crashNews.push_back(CrashNews::crashed(m_surroundings.self, m_surroundings.incarnation, ++m_lastCrashNews, running));
+        m_crashNews.push_back(CrashReport::crashed(m_surroundings.self, m_surroundings.incarnation, ++m_lastCrashNews, running));
     }
 }
 
--- a/src/egretlatch/http/client_connection.cpp
+++ b/src/egretlatch/http/client_connection.cpp
@@ -45,7 +45,7 @@
 {
 }
 
-void ClientConnection::open(const net::Endpoint &endpoint, Outgoing outgoing)
+void ClientConnection::open(const net::Endpoint &endpoint, OutgoingRequest outgoing)
 {
     m_isBusy = true;
     m_outgoing = std::move(outgoing);
@@ -54,7 +54,7 @@
     }
 }
 
-void ClientConnection::send(Outgoing outgoing)
+void ClientConnection::send(OutgoingRequest outgoing)
 {
     m_isBusy = true;
     m_outgoing = std::move(outgoing);
@@ -131,7 +131,7 @@
     if (response.status < internal::firstFinalStatus) {
         return;
     }
-    if (!m_outgoing.isOwn(response)) {
+    if (!m_outgoing.isMatchingResponse(response)) {
         m_isSpoiled = true;
         if (!response.keepsConnection) {
             fail(Failure::lost);
--- a/src/egretlatch/http/client_connection.hpp
+++ b/src/egretlatch/http/client_connection.hpp
@@ -24,11 +24,11 @@
 using Outcome = std::variant<Response, Failure>;
 
 /*! @brief A request that is to be sent. */
-struct Outgoing
+struct OutgoingRequest
 {
     QByteArray bytes;
     /*! @brief Tells an answer to this request from one to an earlier request that came late. */
-    std::function<bool(const Response &)> isOwn;
+    std::function<bool(const Response &)> isMatchingResponse;
     /*! @brief Called exactly once, unless the request is cancelled. */
     std::function<void(Outcome)> onResult;
     SteadyTime deadline;
@@ -59,13 +59,13 @@
      * @param endpoint Where to.
      * @param outgoing The request.
      */
-    void open(const net::Endpoint &endpoint, Outgoing outgoing);
+    void open(const net::Endpoint &endpoint, OutgoingRequest outgoing);
 
     /**
      * @brief Sends a request on a free connection.
      * @param outgoing The request.
      */
-    void send(Outgoing outgoing);
+    void send(OutgoingRequest outgoing);
 
     /*! @brief Forgets the request that is under way and closes; no result follows. */
     void cancel();
@@ -99,7 +99,7 @@
     const Clock &m_clock;
     ResponseReader m_reader;
     net::TcpStream m_stream;
-    Outgoing m_outgoing;
+    OutgoingRequest m_outgoing;
     bool m_isBusy{};
     bool m_isOpen{};
     bool m_isOver{};
--- a/src/egretlatch/http/client_pool.cpp
+++ b/src/egretlatch/http/client_pool.cpp
@@ -13,7 +13,7 @@
 {
 }
 
-TicketId ClientPool::send(Outgoing outgoing)
+TicketId ClientPool::send(OutgoingRequest outgoing)
 {
     const TicketId ticket{++m_lastTicket};
     outgoing.onResult = [this, ticket, onResult = std::move(outgoing.onResult)](Outcome result) {
--- a/src/egretlatch/http/client_pool.hpp
+++ b/src/egretlatch/http/client_pool.hpp
@@ -41,7 +41,7 @@
      * @param outgoing The request; its result may come before this returns.
      * @return What cancel() takes.
      */
-    TicketId send(Outgoing outgoing);
+    TicketId send(OutgoingRequest outgoing);
 
     /**
      * @brief Closes the connection of a request that is under way; no result follows.
--- a/src/egretlatch/manifest/parse_manifest.cpp
+++ b/src/egretlatch/manifest/parse_manifest.cpp
@@ -19,20 +19,20 @@
 using settings::Problems;
 using settings::Range;
 
-constexpr Range<std::int64_t> priorityRange{.least = 0, .most = 9};
-constexpr Range<double> worthRange{.least = 0.0, .most = 1e6};
-constexpr Range<std::int64_t> deadlineRange{.least = 1, .most = 600'000};
-constexpr Range<std::int64_t> costRange{.least = 1, .most = 600'000};
-constexpr Range<std::int64_t> retryBudgetRange{.least = 0, .most = 32};
-constexpr Range<std::int64_t> countRange{.least = 1, .most = 64};
-constexpr Range<std::int64_t> slotsRange{.least = 1, .most = 10'000};
-constexpr Range<std::int64_t> connectionsRange{.least = 1, .most = 100'000};
-constexpr Range<std::int64_t> queueTargetRange{.least = 1, .most = 60'000};
-constexpr Range<std::int64_t> weightRange{.least = 0, .most = 1'000'000};
-constexpr Range<std::int64_t> headerBytesRange{.least = 256, .most = 1024LL * 1024};
-constexpr Range<std::int64_t> bodyBytesRange{.least = 0, .most = 1024LL * 1024 * 1024};
-constexpr Range<std::int64_t> timeoutRange{.least = 1, .most = 3'600'000};
-constexpr Range<double> retryRatioRange{.least = 0.0, .most = 1.0};
+constexpr Range<std::int64_t> priorityRange{.min = 0, .max = 9};
+constexpr Range<double> worthRange{.min = 0.0, .max = 1e6};
+constexpr Range<std::int64_t> deadlineRange{.min = 1, .max = 600'000};
+constexpr Range<std::int64_t> costRange{.min = 1, .max = 600'000};
+constexpr Range<std::int64_t> retryBudgetRange{.min = 0, .max = 32};
+constexpr Range<std::int64_t> countRange{.min = 1, .max = 64};
+constexpr Range<std::int64_t> slotsRange{.min = 1, .max = 10'000};
+constexpr Range<std::int64_t> connectionsRange{.min = 1, .max = 100'000};
+constexpr Range<std::int64_t> queueTargetRange{.min = 1, .max = 60'000};
+constexpr Range<std::int64_t> weightRange{.min = 0, .max = 1'000'000};
+constexpr Range<std::int64_t> headerBytesRange{.min = 256, .max = 1024LL * 1024};
+constexpr Range<std::int64_t> bodyBytesRange{.min = 0, .max = 1024LL * 1024 * 1024};
+constexpr Range<std::int64_t> timeoutRange{.min = 1, .max = 3'600'000};
+constexpr Range<double> retryRatioRange{.min = 0.0, .max = 1.0};
 
 [[nodiscard]] static InnerCall readCall(const QJsonValue &value, const std::string &pointer, Problems &problems)
 {
--- a/src/egretlatch/membership/contact_book.cpp
+++ b/src/egretlatch/membership/contact_book.cpp
@@ -10,11 +10,11 @@
 {
 
 constexpr std::uint64_t contactRows = 16;
-constexpr std::chrono::seconds turnInterval{60};
+constexpr std::chrono::seconds writeInterval{60};
 // A daemon without others reads again this often at first, and twice as rarely each time, up to the last.
-constexpr std::chrono::milliseconds firstLonelyInterval{1000};
-constexpr std::chrono::seconds lonelyInterval{10};
-constexpr std::chrono::milliseconds firstTurnAlone{300};
+constexpr std::chrono::milliseconds minReadInterval{1000};
+constexpr std::chrono::seconds maxReadInterval{10};
+constexpr std::chrono::milliseconds maxFirstWriteDelay{300};
 constexpr const char *rowPrefix = "contact/";
 constexpr char separator = '\n';
 
@@ -23,26 +23,26 @@
 ContactBook::ContactBook(Contact self, RandomSource &random)
     : m_self{std::move(self)}
     , m_random{random}
-    , m_readBackoff{internal::firstLonelyInterval, internal::lonelyInterval}
+    , m_readBackoff{internal::minReadInterval, internal::maxReadInterval}
 {
 }
 
 std::optional<store::Request> ContactBook::tick(const std::size_t others, const SteadyTime now)
 {
-    if (!m_nextTurn.has_value()) {
+    if (!m_nextWriteTurn.has_value()) {
         // The first turn comes early, so that a small fleet that starts soon has its rows. One that is alone may be the
         // first of a fleet that starts all at once, and the others wait for its row.
-        const Duration latest = others == 0 ? Duration{internal::firstTurnAlone} : Duration{internal::lonelyInterval};
-        m_nextTurn = now + Duration{static_cast<Duration::rep>(static_cast<double>(latest.count()) * m_random.fraction())};
+        const Duration latest = others == 0 ? Duration{internal::maxFirstWriteDelay} : Duration{internal::maxReadInterval};
+        m_nextWriteTurn = now + Duration{static_cast<Duration::rep>(static_cast<double>(latest.count()) * m_random.fraction())};
     }
     if (now >= m_nextRead && others == 0) {
         m_nextRead = now + m_readBackoff.next(m_random);
         return store::TableScan{.prefix = internal::rowPrefix, .after = {}, .limit = static_cast<int>(internal::contactRows)};
     }
-    if (now < *m_nextTurn) {
+    if (now < *m_nextWriteTurn) {
         return std::nullopt;
     }
-    m_nextTurn = now + std::chrono::duration_cast<Duration>(internal::turnInterval * (0.5 + m_random.fraction()));
+    m_nextWriteTurn = now + std::chrono::duration_cast<Duration>(internal::writeInterval * (0.5 + m_random.fraction()));
     const bool isChosen = m_random.below(others + 1) < internal::contactRows;
     return isChosen ? std::optional{writeRequest()} : std::nullopt;
 }
--- a/src/egretlatch/membership/contact_book.hpp
+++ b/src/egretlatch/membership/contact_book.hpp
@@ -51,7 +51,7 @@
     RandomSource &m_random;
     store::Backoff m_readBackoff;
     SteadyTime m_nextRead;
-    std::optional<SteadyTime> m_nextTurn;
+    std::optional<SteadyTime> m_nextWriteTurn;
 };
 
 } // namespace egretlatch::membership
--- a/src/egretlatch/membership/departures.cpp
+++ b/src/egretlatch/membership/departures.cpp
@@ -8,25 +8,25 @@
 namespace internal
 {
 
-constexpr std::size_t mostDepartures = 64;
+constexpr std::size_t maxDepartures = 64;
 
 } // namespace internal
 
-bool Departures::note(const std::string &life)
+bool Departures::note(const std::string &incarnation)
 {
-    if (contains(life)) {
+    if (contains(incarnation)) {
         return false;
     }
-    m_lives.push_back(life);
-    if (m_lives.size() > internal::mostDepartures) {
-        m_lives.pop_front();
+    m_incarnations.push_back(incarnation);
+    if (m_incarnations.size() > internal::maxDepartures) {
+        m_incarnations.pop_front();
     }
     return true;
 }
 
-bool Departures::contains(const std::string &life) const
+bool Departures::contains(const std::string &incarnation) const
 {
-    return std::find(m_lives.begin(), m_lives.end(), life) != m_lives.end();
+    return std::find(m_incarnations.begin(), m_incarnations.end(), incarnation) != m_incarnations.end();
 }
 
 } // namespace egretlatch::membership
--- a/src/egretlatch/membership/departures.hpp
+++ b/src/egretlatch/membership/departures.hpp
@@ -21,18 +21,18 @@
      * @param life Name of the life.
      * @return True if that is news.
      */
-    bool note(const std::string &life);
+    bool note(const std::string &incarnation);
 
     /**
      * @brief Says whether a life has said that it leaves.
      * @param life Name of the life.
      * @return True if it has.
      */
-    [[nodiscard]] bool contains(const std::string &life) const;
+    [[nodiscard]] bool contains(const std::string &incarnation) const;
 
 private:
     /*! @brief Oldest first. */
-    std::deque<std::string> m_lives;
+    std::deque<std::string> m_incarnations;
 };
 
 } // namespace egretlatch::membership
--- a/src/egretlatch/membership/fwd.hpp
+++ b/src/egretlatch/membership/fwd.hpp
@@ -7,7 +7,7 @@
 enum class GossipPurpose;
 enum class MemberState;
 enum class MergeOutcome;
-enum class NewsSource;
+enum class UpdateSource;
 
 struct Contact;
 struct GossipMessage;
@@ -21,7 +21,7 @@
 class ContactBook;
 class Departures;
 class Gossip;
-class NewsQueue;
+class UpdateQueue;
 class PingRelays;
 class Prober;
 class Roster;
--- a/src/egretlatch/membership/gossip.cpp
+++ b/src/egretlatch/membership/gossip.cpp
@@ -13,20 +13,20 @@
 constexpr std::chrono::milliseconds spreadInterval{200};
 // One daemon of a small fleet looks this often for one that is gone; of a larger one each looks more rarely, so that the
 // fleet as a whole sends eight such pings a second at most.
-constexpr std::chrono::milliseconds shortestUnheardInterval{2000};
-constexpr std::chrono::milliseconds unheardIntervalPerMember{125};
+constexpr std::chrono::milliseconds minAbsentPingInterval{2000};
+constexpr std::chrono::milliseconds absentPingIntervalPerMember{125};
 // While nobody is known. A daemon that starts serves nobody until it is heard, and whoever it pings may be gone.
 constexpr std::chrono::milliseconds joinInterval{300};
-constexpr std::chrono::seconds longestTickGap{2};
+constexpr std::chrono::seconds maxTickGap{2};
 constexpr int spreadTargets = 2;
 constexpr int announceTargets = 4;
 constexpr std::size_t joinTargets = 3;
 constexpr std::size_t indirectHelpers = 3;
-constexpr std::size_t newsInMessage = 12;
+constexpr std::size_t updatesInMessage = 12;
 constexpr std::size_t membersInPage = 24;
 constexpr std::size_t rumoursInPage = 8;
 constexpr int sendsPerDoubling = 2;
-constexpr std::size_t drawsForOne = 4;
+constexpr std::size_t drawsPerChoice = 4;
 
 [[nodiscard]] static int sendsFor(const std::size_t members)
 {
@@ -41,15 +41,15 @@
     , m_metrics{metrics}
     , m_contacts{std::move(contacts)}
     , m_prober{random}
-    , m_pull{random}
+    , m_statePull{random}
 {
 }
 
 void Gossip::handle(const DaemonId &sender, const Incarnation incarnation, const GossipMessage &message, const SteadyTime now)
 {
     // Looked at first: the message itself is a sign of life that ends the doubt here, but not that of others.
-    const std::optional<Suspicion> doubt = doubtOf(sender);
-    takeNews(sender, message, now);
+    const std::optional<Suspicion> suspicion = suspicionOf(sender);
+    mergeUpdates(sender, message, now);
     if (!message.paces.empty()) {
         m_effects.paces.emplace_back(sender, message.paces);
     }
@@ -57,10 +57,10 @@
     case GossipPurpose::news:
         break;
     case GossipPurpose::ping:
-        answerPing(sender, incarnation, message, doubt, now);
+        answerPing(sender, incarnation, message, suspicion, now);
         break;
     case GossipPurpose::ack:
-        m_prober.noteAck(message.sequence);
+        m_prober.handleAck(message.sequence);
         relayAck(message.sequence, now);
         break;
     case GossipPurpose::pingRequest:
@@ -70,7 +70,7 @@
         answerPull(sender, incarnation, message, now);
         break;
     case GossipPurpose::pullReply:
-        m_pull.noteReply(sender, message.page, message.hasMore, now);
+        m_statePull.handleReply(sender, message.page, message.hasMore, now);
         break;
     }
 }
@@ -79,7 +79,7 @@
 {
     // A daemon that was paused, or got no processor, finds its probe past its time on waking although the answer may lie
     // unread. It would then suspect a live member, so a probe that spans such a gap has no verdict.
-    if (m_lastTick.has_value() && now - *m_lastTick > internal::longestTickGap) {
+    if (m_lastTick.has_value() && now - *m_lastTick > internal::maxTickGap) {
         m_prober.reset();
         m_metrics.count("membership", "tick-gap");
     }
@@ -92,24 +92,24 @@
     m_relays.expire(now);
     m_effects.haveMembersChanged = m_roster.tick(now) || m_effects.haveMembersChanged;
     const std::vector<DaemonId> &participants = m_roster.participants();
-    for (const ProbeOrder &order : m_prober.tick(participants, now)) {
-        follow(order, now);
+    for (const ProbeAction &action : m_prober.tick(participants, now)) {
+        execute(action, now);
     }
-    if (now >= m_nextUnheard) {
-        const std::chrono::milliseconds shared = internal::unheardIntervalPerMember * static_cast<int>(participants.size());
-        m_nextUnheard = now + (participants.empty() ? Duration{internal::joinInterval} : Duration{std::max(internal::shortestUnheardInterval, shared)});
-        pingUnheard(now);
+    if (now >= m_nextAbsentPing) {
+        const std::chrono::milliseconds shared = internal::absentPingIntervalPerMember * static_cast<int>(participants.size());
+        m_nextAbsentPing = now + (participants.empty() ? Duration{internal::joinInterval} : Duration{std::max(internal::minAbsentPingInterval, shared)});
+        pingAbsent(now);
     }
     pull(now);
-    if (now >= m_nextSpread && !m_news.isEmpty()) {
-        spreadNews(internal::spreadTargets, now);
+    if (now >= m_nextSpread && !m_updates.isEmpty()) {
+        sendUpdates(internal::spreadTargets, now);
     }
 }
 
 void Gossip::announceSelf(const SteadyTime now)
 {
     queue(m_roster.self().id);
-    spreadNews(internal::announceTargets, now);
+    sendUpdates(internal::announceTargets, now);
 }
 
 void Gossip::spread(const Rumour &rumour, const SteadyTime now)
@@ -128,7 +128,7 @@
         }
     }
     if (m_contacts.size() > known && m_roster.participants().empty()) {
-        m_nextUnheard = {};
+        m_nextAbsentPing = {};
     }
 }
 
@@ -144,17 +144,17 @@
     return effects;
 }
 
-void Gossip::takeNews(const DaemonId &sender, const GossipMessage &message, const SteadyTime now)
+void Gossip::mergeUpdates(const DaemonId &sender, const GossipMessage &message, const SteadyTime now)
 {
     for (const Member &member : message.members) {
-        NewsSource source = message.purpose == GossipPurpose::pullReply ? NewsSource::pull : NewsSource::rumour;
+        UpdateSource source = message.purpose == GossipPurpose::pullReply ? UpdateSource::pull : UpdateSource::rumour;
         if (member.id == sender) {
-            source = NewsSource::member;
+            source = UpdateSource::member;
         }
-        takeOutcome(m_roster.merge(member, source, now), member.id, source);
+        handleMergeOutcome(m_roster.merge(member, source, now), member.id, source);
     }
     for (const Suspicion &suspicion : message.suspicions) {
-        takeOutcome(m_roster.suspect(suspicion, now), suspicion.id, NewsSource::rumour);
+        handleMergeOutcome(m_roster.suspect(suspicion, now), suspicion.id, UpdateSource::rumour);
     }
     for (const Rumour &rumour : message.rumours) {
         if (m_rumours.add(rumour, now)) {
@@ -164,7 +164,7 @@
     }
 }
 
-void Gossip::takeOutcome(const MergeOutcome outcome, const DaemonId &id, const NewsSource source)
+void Gossip::handleMergeOutcome(const MergeOutcome outcome, const DaemonId &id, const UpdateSource source)
 {
     if (outcome == MergeOutcome::known) {
         return;
@@ -173,23 +173,23 @@
     if (outcome == MergeOutcome::refuted) {
         m_metrics.count("membership", "refuted");
     }
-    if (source == NewsSource::pull) {
-        m_pull.noteNews();
+    if (source == UpdateSource::pull) {
+        m_statePull.noteNewState();
     }
     // What a pull brings is old news: passed on, a newcomer would spread the whole fleet anew.
-    if (outcome == MergeOutcome::refuted || source != NewsSource::pull) {
+    if (outcome == MergeOutcome::refuted || source != UpdateSource::pull) {
         queue(id);
     }
 }
 
 void Gossip::answerPing(
-    const DaemonId &sender, const Incarnation incarnation, const GossipMessage &message, const std::optional<Suspicion> &doubt, const SteadyTime now)
+    const DaemonId &sender, const Incarnation incarnation, const GossipMessage &message, const std::optional<Suspicion> &suspicion, const SteadyTime now)
 {
     GossipMessage answer = makeMessage(GossipPurpose::ack, now);
     answer.sequence = message.sequence;
     answer.receiver = incarnation;
-    if (doubt.has_value()) {
-        answer.suspicions.push_back(*doubt);
+    if (suspicion.has_value()) {
+        answer.suspicions.push_back(*suspicion);
     }
     if (const Member *const known = m_roster.find(sender); known != nullptr && known->incarnation > incarnation) {
         // The sender may not know that an earlier life of it, begun by a clock that was ahead, overrules all that it says.
@@ -234,97 +234,97 @@
         answer.members.insert(answer.members.end(), members.begin(), members.end());
         answer.rumours.insert(answer.rumours.end(), rumours.begin(), rumours.end());
         // The other side may know things that this one does not.
-        if (m_pull.mayFollow(now)) {
-            m_pull.begin(sender, now);
+        if (m_statePull.mayPullBack(now)) {
+            m_statePull.begin(sender, now);
         }
     }
     sendTo(sender, std::move(answer));
 }
 
-void Gossip::follow(const ProbeOrder &order, const SteadyTime now)
+void Gossip::execute(const ProbeAction &action, const SteadyTime now)
 {
-    switch (order.step) {
+    switch (action.step) {
     case ProbeStep::direct:
-        pingDirectly(order, now);
+        pingDirectly(action, now);
         break;
     case ProbeStep::indirect:
-        pingIndirectly(order, now);
+        pingIndirectly(action, now);
         break;
     case ProbeStep::failed:
-        if (const Member *const member = m_roster.find(order.target)) {
+        if (const Member *const member = m_roster.find(action.target)) {
             const Suspicion suspicion{.id = member->id, .incarnation = member->incarnation, .revision = member->revision};
-            takeOutcome(m_roster.suspect(suspicion, now), order.target, NewsSource::rumour);
+            handleMergeOutcome(m_roster.suspect(suspicion, now), action.target, UpdateSource::rumour);
             m_metrics.count("membership", "probe-failed");
         }
         break;
     }
 }
 
-void Gossip::pingDirectly(const ProbeOrder &order, const SteadyTime now)
+void Gossip::pingDirectly(const ProbeAction &action, const SteadyTime now)
 {
     GossipMessage ping = makeMessage(GossipPurpose::ping, now);
-    ping.sequence = order.sequence;
-    if (const std::optional<Suspicion> doubt = doubtOf(order.target)) {
-        ping.suspicions.push_back(*doubt);
+    ping.sequence = action.sequence;
+    if (const std::optional<Suspicion> suspicion = suspicionOf(action.target)) {
+        ping.suspicions.push_back(*suspicion);
     }
-    sendTo(order.target, std::move(ping));
+    sendTo(action.target, std::move(ping));
 }
 
-void Gossip::pingIndirectly(const ProbeOrder &order, const SteadyTime now)
+void Gossip::pingIndirectly(const ProbeAction &action, const SteadyTime now)
 {
-    const Member *const target = m_roster.find(order.target);
+    const Member *const target = m_roster.find(action.target);
     if (target == nullptr) {
         return;
     }
     const Contact subject{.id = target->id, .endpoint = target->endpoint};
-    for (const DaemonId &helper : chooseParticipants(internal::indirectHelpers, order.target)) {
+    for (const DaemonId &helper : chooseParticipants(internal::indirectHelpers, action.target)) {
         GossipMessage request = makeMessage(GossipPurpose::pingRequest, now);
-        request.sequence = order.sequence;
+        request.sequence = action.sequence;
         request.subject = subject;
         sendTo(helper, std::move(request));
     }
 }
 
-void Gossip::pingUnheard(const SteadyTime now)
+void Gossip::pingAbsent(const SteadyTime now)
 {
-    std::vector<Contact> unheard;
+    std::vector<Contact> absent;
     for (const DaemonId &id : m_roster.absent()) {
-        unheard.push_back({.id = id, .endpoint = m_roster.find(id)->endpoint});
+        absent.push_back({.id = id, .endpoint = m_roster.find(id)->endpoint});
     }
     for (const Contact &contact : m_contacts) {
         if (m_roster.find(contact.id) == nullptr) {
-            unheard.push_back(contact);
+            absent.push_back(contact);
         }
     }
     const std::size_t count = m_roster.participants().empty() ? internal::joinTargets : 1;
-    for (std::size_t sent = 0; sent < count && !unheard.empty(); ++sent) {
-        const std::size_t index = m_random.below(unheard.size());
+    for (std::size_t sent = 0; sent < count && !absent.empty(); ++sent) {
+        const std::size_t index = m_random.below(absent.size());
         GossipMessage ping = makeMessage(GossipPurpose::ping, now);
         ping.sequence = m_prober.nextSequence();
-        if (const std::optional<Suspicion> doubt = doubtOf(unheard[index].id)) {
-            ping.suspicions.push_back(*doubt);
+        if (const std::optional<Suspicion> suspicion = suspicionOf(absent[index].id)) {
+            ping.suspicions.push_back(*suspicion);
         }
-        m_effects.messages.push_back({.to = unheard[index], .message = std::move(ping)});
-        unheard.erase(unheard.begin() + static_cast<std::ptrdiff_t>(index));
+        m_effects.messages.push_back({.to = absent[index], .message = std::move(ping)});
+        absent.erase(absent.begin() + static_cast<std::ptrdiff_t>(index));
     }
 }
 
 void Gossip::pull(const SteadyTime now)
 {
-    if (m_pull.isDue(now)) {
+    if (m_statePull.isDue(now)) {
         for (const DaemonId &from : chooseParticipants(1, m_roster.self().id)) {
-            m_pull.begin(from, now);
+            m_statePull.begin(from, now);
         }
     }
-    if (const std::optional<PullOrder> order = m_pull.tick(now)) {
+    if (const std::optional<PullRequest> action = m_statePull.tick(now)) {
         GossipMessage request = makeMessage(GossipPurpose::pullRequest, now);
-        request.page = order->page;
+        request.page = action->page;
         request.digest = digest();
-        sendTo(order->from, std::move(request));
+        sendTo(action->from, std::move(request));
     }
 }
 
-void Gossip::spreadNews(const int targets, const SteadyTime now)
+void Gossip::sendUpdates(const int targets, const SteadyTime now)
 {
     m_nextSpread = now + internal::spreadInterval;
     for (const DaemonId &target : chooseParticipants(static_cast<std::size_t>(targets), m_roster.self().id)) {
@@ -332,9 +332,9 @@
     }
 }
 
-void Gossip::queue(const NewsSubject &subject)
+void Gossip::queue(const UpdateSubject &subject)
 {
-    m_news.add(subject, internal::sendsFor(m_roster.participants().size() + 1));
+    m_updates.add(subject, internal::sendsFor(m_roster.participants().size() + 1));
 }
 
 GossipMessage Gossip::makeMessage(const GossipPurpose purpose, const SteadyTime now)
@@ -343,13 +343,13 @@
     message.purpose = purpose;
     message.members.push_back(m_roster.self());
     message.paces = m_paces;
-    addNews(message, now);
+    addUpdates(message, now);
     return message;
 }
 
-void Gossip::addNews(GossipMessage &message, const SteadyTime now)
+void Gossip::addUpdates(GossipMessage &message, const SteadyTime now)
 {
-    for (const NewsSubject &subject : m_news.take(internal::newsInMessage)) {
+    for (const UpdateSubject &subject : m_updates.take(internal::updatesInMessage)) {
         if (const auto *const key = std::get_if<RumourKey>(&subject)) {
             if (const std::optional<Rumour> rumour = m_rumours.find(*key, now)) {
                 message.rumours.push_back(*rumour);
@@ -357,8 +357,8 @@
             continue;
         }
         const DaemonId &id = std::get<DaemonId>(subject);
-        if (const std::optional<Suspicion> doubt = doubtOf(id)) {
-            message.suspicions.push_back(*doubt);
+        if (const std::optional<Suspicion> suspicion = suspicionOf(id)) {
+            message.suspicions.push_back(*suspicion);
         } else if (const Member *const member = m_roster.findAnnounced(id); member != nullptr && id != m_roster.self().id) {
             message.members.push_back(*member);
         }
@@ -367,12 +367,12 @@
 
 void Gossip::addDepartures(GossipMessage &message, const DaemonId &beside, const SteadyTime now) const
 {
-    for (Rumour &rumour : m_rumours.departuresBeside(beside, now)) {
+    for (Rumour &rumour : m_rumours.departuresOf(beside, now)) {
         message.rumours.push_back(std::move(rumour));
     }
 }
 
-std::optional<Suspicion> Gossip::doubtOf(const DaemonId &id) const
+std::optional<Suspicion> Gossip::suspicionOf(const DaemonId &id) const
 {
     const Member *const member = m_roster.find(id);
     // Without an entry to tell, the state is this daemon's verdict and not the member's own word.
@@ -387,8 +387,8 @@
     const std::vector<DaemonId> &candidates = m_roster.participants();
     std::vector<DaemonId> chosen;
     // Draws with few repeats: a handful out of many, or all of a few.
-    const std::size_t mostDraws = count * internal::drawsForOne;
-    for (std::size_t draw = 0; draw < mostDraws && chosen.size() < count && !candidates.empty(); ++draw) {
+    const std::size_t maxDraws = count * internal::drawsPerChoice;
+    for (std::size_t draw = 0; draw < maxDraws && chosen.size() < count && !candidates.empty(); ++draw) {
         const DaemonId &candidate = candidates[m_random.below(candidates.size())];
         if (candidate != except && std::find(chosen.begin(), chosen.end(), candidate) == chosen.end()) {
             chosen.push_back(candidate);
--- a/src/egretlatch/membership/gossip.hpp
+++ b/src/egretlatch/membership/gossip.hpp
@@ -9,12 +9,12 @@
 #include <egretlatch/core/clock.hpp>
 #include <egretlatch/core/random_source.hpp>
 #include <egretlatch/membership/gossip_message.hpp>
-#include <egretlatch/membership/news_queue.hpp>
 #include <egretlatch/membership/ping_relays.hpp>
 #include <egretlatch/membership/prober.hpp>
 #include <egretlatch/membership/roster.hpp>
 #include <egretlatch/membership/rumour_store.hpp>
 #include <egretlatch/membership/state_pull.hpp>
+#include <egretlatch/membership/update_queue.hpp>
 
 namespace egretlatch::membership
 {
@@ -109,23 +109,23 @@
     }
 
 private:
-    void takeNews(const DaemonId &sender, const GossipMessage &message, SteadyTime now);
-    void takeOutcome(MergeOutcome outcome, const DaemonId &id, NewsSource source);
-    void answerPing(const DaemonId &sender, Incarnation incarnation, const GossipMessage &message, const std::optional<Suspicion> &doubt, SteadyTime now);
+    void mergeUpdates(const DaemonId &sender, const GossipMessage &message, SteadyTime now);
+    void handleMergeOutcome(MergeOutcome outcome, const DaemonId &id, UpdateSource source);
+    void answerPing(const DaemonId &sender, Incarnation incarnation, const GossipMessage &message, const std::optional<Suspicion> &suspicion, SteadyTime now);
     void relayPing(const DaemonId &sender, Incarnation incarnation, const GossipMessage &message, SteadyTime now);
     void relayAck(std::uint64_t sequence, SteadyTime now);
     void answerPull(const DaemonId &sender, Incarnation incarnation, const GossipMessage &message, SteadyTime now);
-    void follow(const ProbeOrder &order, SteadyTime now);
-    void pingDirectly(const ProbeOrder &order, SteadyTime now);
-    void pingIndirectly(const ProbeOrder &order, SteadyTime now);
-    void pingUnheard(SteadyTime now);
+    void execute(const ProbeAction &action, SteadyTime now);
+    void pingDirectly(const ProbeAction &action, SteadyTime now);
+    void pingIndirectly(const ProbeAction &action, SteadyTime now);
+    void pingAbsent(SteadyTime now);
     void pull(SteadyTime now);
-    void spreadNews(int targets, SteadyTime now);
-    void queue(const NewsSubject &subject);
+    void sendUpdates(int targets, SteadyTime now);
+    void queue(const UpdateSubject &subject);
     [[nodiscard]] GossipMessage makeMessage(GossipPurpose purpose, SteadyTime now);
-    void addNews(GossipMessage &message, SteadyTime now);
+    void addUpdates(GossipMessage &message, SteadyTime now);
     void addDepartures(GossipMessage &message, const DaemonId &beside, SteadyTime now) const;
-    [[nodiscard]] std::optional<Suspicion> doubtOf(const DaemonId &id) const;
+    [[nodiscard]] std::optional<Suspicion> suspicionOf(const DaemonId &id) const;
     [[nodiscard]] std::vector<DaemonId> chooseParticipants(std::size_t count, const DaemonId &except);
     [[nodiscard]] std::uint64_t digest() const;
     void sendTo(const DaemonId &to, GossipMessage message);
@@ -135,16 +135,16 @@
     account::MetricsSink &m_metrics;
     std::vector<Contact> m_contacts;
     RumourStore m_rumours;
-    NewsQueue m_news;
+    UpdateQueue m_updates;
     Prober m_prober;
-    StatePull m_pull;
+    StatePull m_statePull;
     PingRelays m_relays;
     GossipEffects m_effects;
     std::vector<admission::KindPace> m_paces;
     std::optional<SteadyTime> m_lastTick;
     SteadyTime m_nextBeat;
     SteadyTime m_nextSpread;
-    SteadyTime m_nextUnheard;
+    SteadyTime m_nextAbsentPing;
 };
 
 } // namespace egretlatch::membership
--- a/src/egretlatch/membership/ping_relays.cpp
+++ b/src/egretlatch/membership/ping_relays.cpp
@@ -12,7 +12,7 @@
 
 void PingRelays::add(const std::uint64_t sequence, const PingRelay &relay, const SteadyTime now)
 {
-    m_relays.insert_or_assign(sequence, Kept{.relay = relay, .expires = now + internal::relayTimeout});
+    m_relays.insert_or_assign(sequence, Entry{.relay = relay, .expires = now + internal::relayTimeout});
 }
 
 std::optional<PingRelay> PingRelays::take(const std::uint64_t sequence)
--- a/src/egretlatch/membership/ping_relays.hpp
+++ b/src/egretlatch/membership/ping_relays.hpp
@@ -48,13 +48,13 @@
     void expire(SteadyTime now);
 
 private:
-    struct Kept
+    struct Entry
     {
         PingRelay relay;
         SteadyTime expires;
     };
 
-    std::map<std::uint64_t, Kept> m_relays;
+    std::map<std::uint64_t, Entry> m_relays;
 };
 
 } // namespace egretlatch::membership
--- a/src/egretlatch/membership/prober.cpp
+++ b/src/egretlatch/membership/prober.cpp
@@ -19,37 +19,37 @@
 {
 }
 
-std::vector<ProbeOrder> Prober::tick(const std::vector<DaemonId> &participants, const SteadyTime now)
+std::vector<ProbeAction> Prober::tick(const std::vector<DaemonId> &participants, const SteadyTime now)
 {
-    std::vector<ProbeOrder> orders;
+    std::vector<ProbeAction> actions;
     if (m_probe.has_value() && now >= m_probe->nextRepeat) {
         m_probe->nextRepeat = now + internal::repeatInterval;
         if (!m_probe->isUnreachable) {
-            orders.push_back({.step = ProbeStep::direct, .target = m_probe->target, .sequence = m_probe->sequence});
+            actions.push_back({.step = ProbeStep::direct, .target = m_probe->target, .sequence = m_probe->sequence});
         }
-        orders.push_back({.step = ProbeStep::indirect, .target = m_probe->target, .sequence = m_probe->sequence});
+        actions.push_back({.step = ProbeStep::indirect, .target = m_probe->target, .sequence = m_probe->sequence});
     }
     if (!m_nextProbe.has_value()) {
         // Daemons that start together must not probe together.
         m_nextProbe = now + std::chrono::duration_cast<Duration>(internal::probeInterval * m_random.fraction());
     }
     if (now < *m_nextProbe) {
-        return orders;
+        return actions;
     }
     m_nextProbe = now + internal::probeInterval;
-    orders.clear();
+    actions.clear();
     if (m_probe.has_value()) {
-        orders.push_back({.step = ProbeStep::failed, .target = m_probe->target, .sequence = m_probe->sequence});
+        actions.push_back({.step = ProbeStep::failed, .target = m_probe->target, .sequence = m_probe->sequence});
         m_probe.reset();
     }
     if (const std::optional<DaemonId> target = chooseTarget(participants)) {
         m_probe = Probe{.target = *target, .sequence = nextSequence(), .nextRepeat = now + internal::repeatInterval};
-        orders.push_back({.step = ProbeStep::direct, .target = *target, .sequence = m_probe->sequence});
+        actions.push_back({.step = ProbeStep::direct, .target = *target, .sequence = m_probe->sequence});
     }
-    return orders;
+    return actions;
 }
 
-void Prober::noteAck(const std::uint64_t sequence)
+void Prober::handleAck(const std::uint64_t sequence)
 {
     if (m_probe.has_value() && m_probe->sequence == sequence) {
         m_probe.reset();
--- a/src/egretlatch/membership/prober.hpp
+++ b/src/egretlatch/membership/prober.hpp
@@ -24,7 +24,7 @@
 };
 
 /*! @brief A step of a probe. */
-struct ProbeOrder
+struct ProbeAction
 {
     ProbeStep step{};
     DaemonId target;
@@ -52,13 +52,13 @@
      * @param now Current time.
      * @return What to do now; several steps only where a probe ends and the next begins.
      */
-    [[nodiscard]] std::vector<ProbeOrder> tick(const std::vector<DaemonId> &participants, SteadyTime now);
+    [[nodiscard]] std::vector<ProbeAction> tick(const std::vector<DaemonId> &participants, SteadyTime now);
 
     /**
      * @brief Takes an answer.
      * @param sequence The probe that it is for; an old one changes nothing.
      */
-    void noteAck(std::uint64_t sequence);
+    void handleAck(std::uint64_t sequence);
 
     /**
      * @brief Takes it that the transport cannot reach a member, so that waiting for its direct answer is of no use.
--- a/src/egretlatch/membership/roster.cpp
+++ b/src/egretlatch/membership/roster.cpp
@@ -22,7 +22,7 @@
     return std::tie(member.incarnation, member.revision);
 }
 
-[[nodiscard]] static bool isDoubted(const MemberState state)
+[[nodiscard]] static bool isSuspectOrGone(const MemberState state)
 {
     return state == MemberState::suspect || state == MemberState::gone;
 }
@@ -41,7 +41,7 @@
 {
 }
 
-MergeOutcome Roster::merge(const Member &member, const NewsSource source, const SteadyTime now)
+MergeOutcome Roster::merge(const Member &member, const UpdateSource source, const SteadyTime now)
 {
     if (member.id == m_self.id) {
         return mergeSelf(member);
@@ -60,12 +60,12 @@
     }
     const bool hasLaterBeat = member.beat > entry.announced.beat;
     entry.announced.beat = std::max(entry.announced.beat, member.beat);
-    const bool isAged = entry.shown.state == MemberState::gone && entry.announced.state != MemberState::gone;
-    const bool isDoubted = isAged || entry.shown.state == MemberState::suspect;
+    const bool isTimedOut = entry.shown.state == MemberState::gone && entry.announced.state != MemberState::gone;
+    const bool isSuspectOrGone = isTimedOut || entry.shown.state == MemberState::suspect;
     // Two regions that were cut off hold each other for gone at the revision that is still in force, and a verdict
     // overrules an entry of its own revision. Without a way back each member would have to be told and to refute. The
     // member's own word is such a way, and so is a beat from after the verdict: a daemon that is dead makes none.
-    if ((source == NewsSource::member && isDoubted) || (isAged && hasLaterBeat)) {
+    if ((source == UpdateSource::member && isSuspectOrGone) || (isTimedOut && hasLaterBeat)) {
         return replace(entry, member, now);
     }
     return MergeOutcome::known;
@@ -86,8 +86,8 @@
         return MergeOutcome::known;
     }
     Entry &entry = found->second;
-    const bool isAboutThePast = std::tie(suspicion.incarnation, suspicion.revision) < internal::rankOf(entry.announced);
-    if (isAboutThePast || internal::isDoubted(entry.shown.state)) {
+    const bool isOutdated = std::tie(suspicion.incarnation, suspicion.revision) < internal::rankOf(entry.announced);
+    if (isOutdated || internal::isSuspectOrGone(entry.shown.state)) {
         return MergeOutcome::known;
     }
     entry.shown.state = MemberState::suspect;
@@ -98,15 +98,15 @@
 
 MergeOutcome Roster::mergeSelf(const Member &member)
 {
-    if (isOutrankedByEarlierLife(member)) {
+    if (isOutrankedByEarlierIncarnation(member)) {
         m_self.incarnation = Incarnation{member.incarnation.value + 1};
         noteChanged(m_self.id);
         return MergeOutcome::refuted;
     }
     // A higher incarnation is the next life of this daemon on another VM: the older life must not overrule it.
-    const bool isOfThisLife = member.incarnation == m_self.incarnation;
+    const bool isSameIncarnation = member.incarnation == m_self.incarnation;
     const bool isOverruled = member.revision > m_self.revision;
-    if (!isOfThisLife || !isOverruled) {
+    if (!isSameIncarnation || !isOverruled) {
         return MergeOutcome::known;
     }
     m_self.revision = member.revision + 1;
@@ -116,9 +116,9 @@
 
 // Incarnations come from the time of day. Where that was set back, a life begins with a lower one than the life before it at
 // this very address, and without a raise nobody would take its word.
-bool Roster::isOutrankedByEarlierLife(const Member &member) const
+bool Roster::isOutrankedByEarlierIncarnation(const Member &member) const
 {
-    return m_mayRaise && member.endpoint == m_self.endpoint && member.incarnation > m_self.incarnation;
+    return m_mayRaiseIncarnation && member.endpoint == m_self.endpoint && member.incarnation > m_self.incarnation;
 }
 
 MergeOutcome Roster::replace(Entry &entry, const Member &member, const SteadyTime now)
@@ -185,8 +185,8 @@
         return nullptr;
     }
     const Entry &entry = found->second;
-    const bool isTold = !internal::isDoubted(entry.shown.state) || entry.announced.state == MemberState::gone;
-    return isTold ? &entry.announced : nullptr;
+    const bool isAnnounced = !internal::isSuspectOrGone(entry.shown.state) || entry.announced.state == MemberState::gone;
+    return isAnnounced ? &entry.announced : nullptr;
 }
 
 std::vector<Member> Roster::members() const
--- a/src/egretlatch/membership/roster.hpp
+++ b/src/egretlatch/membership/roster.hpp
@@ -13,7 +13,7 @@
 {
 
 /*! @brief How news of a member came. */
-enum class NewsSource {
+enum class UpdateSource {
     /*! @brief From the member itself, just now. */
     member,
     /*! @brief From another daemon that spreads a change. */
@@ -49,9 +49,9 @@
     explicit Roster(Member self);
 
     /*! @brief Lets this daemon take a higher incarnation where an earlier life of it at the same address has one. */
-    void allowRaise() noexcept
+    void allowIncarnationRaise() noexcept
     {
-        m_mayRaise = true;
+        m_mayRaiseIncarnation = true;
     }
 
     /**
@@ -61,7 +61,7 @@
      * @param now Current time.
      * @return What it led to.
      */
-    MergeOutcome merge(const Member &member, NewsSource source, SteadyTime now);
+    MergeOutcome merge(const Member &member, UpdateSource source, SteadyTime now);
 
     /**
      * @brief Takes a doubt, this daemon's own or another's.
@@ -171,13 +171,13 @@
     };
 
     [[nodiscard]] MergeOutcome mergeSelf(const Member &member);
-    [[nodiscard]] bool isOutrankedByEarlierLife(const Member &member) const;
+    [[nodiscard]] bool isOutrankedByEarlierIncarnation(const Member &member) const;
     [[nodiscard]] MergeOutcome replace(Entry &entry, const Member &member, SteadyTime now);
     [[nodiscard]] Duration suspicionTimeout() const;
     void noteChanged(const DaemonId &id);
 
     Member m_self;
-    bool m_mayRaise{};
+    bool m_mayRaiseIncarnation{};
     std::map<DaemonId, Entry> m_others;
     std::uint64_t m_version{};
     std::vector<DaemonId> m_changed;
--- a/src/egretlatch/membership/rumour.cpp
+++ b/src/egretlatch/membership/rumour.cpp
@@ -16,7 +16,7 @@
     return "unknown";
 }
 
-std::string keyOf(const DaemonId &daemon, const std::string &rest)
+std::string daemonRumourKey(const DaemonId &daemon, const std::string &rest)
 {
     return daemon.value + '/' + rest;
 }
--- a/src/egretlatch/membership/rumour.hpp
+++ b/src/egretlatch/membership/rumour.hpp
@@ -44,7 +44,7 @@
     RumourKey key;
     /*! @brief Of two rumours with one key, the higher version holds. */
     std::uint64_t version{};
-    /*! @brief At most `largestRumour` bytes; longer ones are dropped. */
+    /*! @brief At most `maxRumourBytes` bytes; longer ones are dropped. */
     std::string payload;
     /*! @brief Time for which it still holds; zero for a rumour that holds until it is replaced. */
     Duration remaining{};
@@ -58,10 +58,10 @@
  * @param rest What tells the rumour from others about it.
  * @return The key; with nothing for the rest, what all keys about that daemon begin with.
  */
-[[nodiscard]] std::string keyOf(const DaemonId &daemon, const std::string &rest);
+[[nodiscard]] std::string daemonRumourKey(const DaemonId &daemon, const std::string &rest);
 
 /*! @brief Bytes that a rumour's payload has at most. */
-constexpr std::size_t largestRumour = 512;
+constexpr std::size_t maxRumourBytes = 512;
 
 } // namespace egretlatch::membership
 
--- a/src/egretlatch/membership/rumour_store.cpp
+++ b/src/egretlatch/membership/rumour_store.cpp
@@ -9,20 +9,20 @@
 namespace internal
 {
 
-constexpr std::size_t mostRumours = 512;
+constexpr std::size_t maxRumours = 512;
 
 } // namespace internal
 
 bool RumourStore::add(const Rumour &rumour, const SteadyTime now)
 {
-    if (rumour.payload.size() > largestRumour || rumour.key.key.size() > largestRumour || rumour.remaining < Duration::zero()) {
+    if (rumour.payload.size() > maxRumourBytes || rumour.key.key.size() > maxRumourBytes || rumour.remaining < Duration::zero()) {
         return false;
     }
     const auto found = m_rumours.find(rumour.key);
     if (found != m_rumours.end() && found->second.rumour.version >= rumour.version) {
         return false;
     }
-    if (found == m_rumours.end() && m_rumours.size() >= internal::mostRumours) {
+    if (found == m_rumours.end() && m_rumours.size() >= internal::maxRumours) {
         return false;
     }
     std::optional<SteadyTime> expires;
@@ -39,7 +39,7 @@
     if (found == m_rumours.end() || found->second.expires.value_or(now + Duration{1}) <= now) {
         return std::nullopt;
     }
-    return withTimeLeft(found->second, now);
+    return withRemainingTime(found->second, now);
 }
 
 std::vector<Rumour> RumourStore::page(const std::size_t page, const std::size_t pageSize, const SteadyTime now) const
@@ -50,17 +50,17 @@
         const bool isInPage = index / pageSize == page;
         const bool holds = entry.expires.value_or(now + Duration{1}) > now;
         if (isInPage && holds) {
-            rumours.push_back(withTimeLeft(entry, now));
+            rumours.push_back(withRemainingTime(entry, now));
         }
         ++index;
     }
     return rumours;
 }
 
-std::vector<Rumour> RumourStore::departuresBeside(const DaemonId &daemon, const SteadyTime now) const
+std::vector<Rumour> RumourStore::departuresOf(const DaemonId &daemon, const SteadyTime now) const
 {
     std::vector<Rumour> rumours;
-    const RumourKey first{.kind = RumourKind::departure, .key = keyOf(daemon, {})};
+    const RumourKey first{.kind = RumourKind::departure, .key = daemonRumourKey(daemon, {})};
     for (auto item = m_rumours.lower_bound(first); item != m_rumours.end(); ++item) {
         if (item->first.kind != first.kind || !item->first.key.starts_with(first.key)) {
             break;
@@ -89,7 +89,7 @@
     return sum;
 }
 
-Rumour RumourStore::withTimeLeft(const Entry &entry, const SteadyTime now)
+Rumour RumourStore::withRemainingTime(const Entry &entry, const SteadyTime now)
 {
     Rumour rumour = entry.rumour;
     if (entry.expires.has_value()) {
--- a/src/egretlatch/membership/rumour_store.hpp
+++ b/src/egretlatch/membership/rumour_store.hpp
@@ -46,7 +46,7 @@
      * @param now Current time.
      * @return The rumours with the time left to them.
      */
-    [[nodiscard]] std::vector<Rumour> departuresBeside(const DaemonId &daemon, SteadyTime now) const;
+    [[nodiscard]] std::vector<Rumour> departuresOf(const DaemonId &daemon, SteadyTime now) const;
 
     /**
      * @brief Forgets what no longer holds.
@@ -72,7 +72,7 @@
         std::optional<SteadyTime> expires;
     };
 
-    [[nodiscard]] static Rumour withTimeLeft(const Entry &entry, SteadyTime now);
+    [[nodiscard]] static Rumour withRemainingTime(const Entry &entry, SteadyTime now);
 
     std::map<RumourKey, Entry> m_rumours;
 };
--- a/src/egretlatch/membership/state_pull.cpp
+++ b/src/egretlatch/membership/state_pull.cpp
@@ -9,8 +9,8 @@
 {
 
 constexpr std::chrono::seconds pullInterval{30};
-constexpr std::chrono::seconds eagerInterval{3};
-constexpr std::chrono::seconds followInterval{10};
+constexpr std::chrono::seconds fastPullInterval{3};
+constexpr std::chrono::seconds pullBackInterval{10};
 constexpr std::chrono::milliseconds pageInterval{200};
 constexpr std::chrono::seconds replyTimeout{2};
 
@@ -26,9 +26,9 @@
     return !m_pull.has_value() && now >= m_nextPull;
 }
 
-bool StatePull::mayFollow(const SteadyTime now) const
+bool StatePull::mayPullBack(const SteadyTime now) const
 {
-    return !m_pull.has_value() && now - m_lastBegin >= internal::followInterval;
+    return !m_pull.has_value() && now - m_lastBegin >= internal::pullBackInterval;
 }
 
 void StatePull::begin(const DaemonId &from, const SteadyTime now)
@@ -37,7 +37,7 @@
     m_lastBegin = now;
 }
 
-std::optional<PullOrder> StatePull::tick(const SteadyTime now)
+std::optional<PullRequest> StatePull::tick(const SteadyTime now)
 {
     if (!m_pull.has_value()) {
         return std::nullopt;
@@ -52,10 +52,10 @@
         return std::nullopt;
     }
     m_pull->asked = now;
-    return PullOrder{.from = m_pull->from, .page = m_pull->page};
+    return PullRequest{.from = m_pull->from, .page = m_pull->page};
 }
 
-void StatePull::noteReply(const DaemonId &from, const std::uint32_t page, const bool hasMore, const SteadyTime now)
+void StatePull::handleReply(const DaemonId &from, const std::uint32_t page, const bool hasMore, const SteadyTime now)
 {
     if (!m_pull.has_value() || m_pull->from != from || m_pull->page != page || !m_pull->asked.has_value()) {
         return;
@@ -69,17 +69,17 @@
     m_pull->nextRequest = now + internal::pageInterval;
 }
 
-void StatePull::noteNews() noexcept
+void StatePull::noteNewState() noexcept
 {
     // A pull that brought news is followed soon: daemons that all start at once each know but a few at first.
-    m_eagerPulls = std::max(m_eagerPulls, 1);
+    m_fastPullsLeft = std::max(m_fastPullsLeft, 1);
 }
 
 void StatePull::end(const SteadyTime now)
 {
     m_pull.reset();
-    const std::chrono::seconds interval = m_eagerPulls > 0 ? internal::eagerInterval : internal::pullInterval;
-    m_eagerPulls = std::max(m_eagerPulls - 1, 0);
+    const std::chrono::seconds interval = m_fastPullsLeft > 0 ? internal::fastPullInterval : internal::pullInterval;
+    m_fastPullsLeft = std::max(m_fastPullsLeft - 1, 0);
     // Between half and one and a half of the interval, so that daemons started together drift apart.
     m_nextPull = now + std::chrono::duration_cast<Duration>(interval * (0.5 + m_random.fraction()));
 }
--- a/src/egretlatch/membership/state_pull.hpp
+++ b/src/egretlatch/membership/state_pull.hpp
@@ -12,7 +12,7 @@
 {
 
 /*! @brief Ask a member for a part of its state. */
-struct PullOrder
+struct PullRequest
 {
     DaemonId from;
     std::uint32_t page{};
@@ -44,7 +44,7 @@
      * @param now Current time.
      * @return True if none is under way and the last one is some time ago.
      */
-    [[nodiscard]] bool mayFollow(SteadyTime now) const;
+    [[nodiscard]] bool mayPullBack(SteadyTime now) const;
 
     /**
      * @brief Begins a pull.
@@ -58,7 +58,7 @@
      * @param now Current time.
      * @return The part to ask for now, if any.
      */
-    [[nodiscard]] std::optional<PullOrder> tick(SteadyTime now);
+    [[nodiscard]] std::optional<PullRequest> tick(SteadyTime now);
 
     /**
      * @brief Takes a part.
@@ -67,10 +67,10 @@
      * @param hasMore Whether further parts follow.
      * @param now Current time.
      */
-    void noteReply(const DaemonId &from, std::uint32_t page, bool hasMore, SteadyTime now);
+    void handleReply(const DaemonId &from, std::uint32_t page, bool hasMore, SteadyTime now);
 
     /*! @brief Takes it that the pull under way brought something unknown, so that the next one may bring more. */
-    void noteNews() noexcept;
+    void noteNewState() noexcept;
 
 private:
     struct Pull
@@ -86,7 +86,7 @@
     RandomSource &m_random;
     std::optional<Pull> m_pull;
     /*! @brief Pulls that follow one another soon; some at the start, when the first member asked may know as little. */
-    int m_eagerPulls{3};
+    int m_fastPullsLeft{3};
     SteadyTime m_nextPull;
     SteadyTime m_lastBegin;
 };
--- a/src/egretlatch/membership/news_queue.cpp
+++ b/src/egretlatch/membership/update_queue.cpp
@@ -1,18 +1,18 @@
-#include <egretlatch/membership/news_queue.hpp>
+#include <egretlatch/membership/update_queue.hpp>
 
 #include <algorithm>
 
 namespace egretlatch::membership
 {
 
-void NewsQueue::add(const NewsSubject &subject, const int sends)
+void UpdateQueue::add(const UpdateSubject &subject, const int sends)
 {
     m_sendsLeft.insert_or_assign(subject, sends);
 }
 
-std::vector<NewsSubject> NewsQueue::take(const std::size_t limit)
+std::vector<UpdateSubject> UpdateQueue::take(const std::size_t limit)
 {
-    using Item = std::map<NewsSubject, int>::iterator;
+    using Item = std::map<UpdateSubject, int>::iterator;
     std::vector<Item> items;
     items.reserve(m_sendsLeft.size());
     for (auto item = m_sendsLeft.begin(); item != m_sendsLeft.end(); ++item) {
@@ -23,7 +23,7 @@
         return left->second != right->second ? left->second > right->second : left->first < right->first;
     });
     items.resize(chosen);
-    std::vector<NewsSubject> subjects;
+    std::vector<UpdateSubject> subjects;
     for (const Item item : items) {
         subjects.push_back(item->first);
         --item->second;
--- a/src/egretlatch/membership/news_queue.hpp
+++ b/src/egretlatch/membership/update_queue.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_MEMBERSHIP_NEWS_QUEUE_HPP
-#define EGRETLATCH_MEMBERSHIP_NEWS_QUEUE_HPP
+#ifndef EGRETLATCH_MEMBERSHIP_UPDATE_QUEUE_HPP
+#define EGRETLATCH_MEMBERSHIP_UPDATE_QUEUE_HPP
 
 #include <map>
 #include <variant>
@@ -12,14 +12,14 @@
 {
 
 /*! @brief What news is about; what it says is looked up when it is sent, so that it is never out of date. */
-using NewsSubject = std::variant<DaemonId, RumourKey>;
+using UpdateSubject = std::variant<DaemonId, RumourKey>;
 
 /**
  * @brief The news that this daemon still has to pass on, each a bounded number of times.
  *
  * What has been sent least goes first, so that a flood of news delays itself and not the newest.
  */
-class NewsQueue
+class UpdateQueue
 {
 public:
     /**
@@ -27,14 +27,14 @@
      * @param subject What it is about.
      * @param sends How often it is to be sent.
      */
-    void add(const NewsSubject &subject, int sends);
+    void add(const UpdateSubject &subject, int sends);
 
     /**
      * @brief Chooses news for one message and counts it as sent.
      * @param limit Most subjects to choose.
      * @return The subjects, those sent least first.
      */
-    [[nodiscard]] std::vector<NewsSubject> take(std::size_t limit);
+    [[nodiscard]] std::vector<UpdateSubject> take(std::size_t limit);
 
     [[nodiscard]] bool isEmpty() const noexcept
     {
@@ -42,7 +42,7 @@
     }
 
 private:
-    std::map<NewsSubject, int> m_sendsLeft;
+    std::map<UpdateSubject, int> m_sendsLeft;
 };
 
 } // namespace egretlatch::membership
--- a/src/egretlatch/peer/peer_exchange.cpp
+++ b/src/egretlatch/peer/peer_exchange.cpp
@@ -81,7 +81,7 @@
     return {};
 }
 
-void PeerExchange::work()
+void PeerExchange::processSockets()
 {
     const SteadyTime now = std::chrono::steady_clock::now();
     bool isSweepDue = now >= m_nextSweep;
--- a/src/egretlatch/peer/peer_exchange.hpp
+++ b/src/egretlatch/peer/peer_exchange.hpp
@@ -58,7 +58,7 @@
     [[nodiscard]] Result<void> start(const std::string &endpoint);
 
     /*! @brief Takes what came; to be called when descriptor() is readable, and once a second. */
-    void work();
+    void processSockets();
 
     /**
      * @brief Takes what came unannounced while send() used a socket; to be called after the last of a row of sends.
--- a/src/egretlatch/peer/stream_exchange.cpp
+++ b/src/egretlatch/peer/stream_exchange.cpp
@@ -61,7 +61,7 @@
     sendByLink(order);
 }
 
-void StreamExchange::beginLife(const Incarnation incarnation)
+void StreamExchange::beginIncarnation(const Incarnation incarnation)
 {
     m_incarnation = incarnation;
     // Others hold a connection for that of one life.
--- a/src/egretlatch/peer/stream_exchange.hpp
+++ b/src/egretlatch/peer/stream_exchange.hpp
@@ -63,7 +63,7 @@
      * @brief Goes on under another incarnation; connections that were opened under the one before end.
      * @param incarnation The incarnation.
      */
-    void beginLife(Incarnation incarnation);
+    void beginIncarnation(Incarnation incarnation);
 
     /*! @brief Closes what is unused or silent; to be called some times a second. */
     void tick();
--- a/src/egretlatch/platform/caller_wire.cpp
+++ b/src/egretlatch/platform/caller_wire.cpp
@@ -91,7 +91,7 @@
     response.status = internal::statusOf(answer);
     response.headers = answer.headers;
     response.body = answer.body;
-    const bool isOwn = answer.refusal.has_value() || !answer.mistake.empty();
+    const bool isOwn = answer.refusal.has_value() || !answer.requestError.empty();
     if (isOwn && !requestName.empty()) {
         response.headers.push_back({.name = requestIdHeader, .value = requestName});
     }
--- a/src/egretlatch/protocol/call_codec.cpp
+++ b/src/egretlatch/protocol/call_codec.cpp
@@ -30,7 +30,7 @@
     wire.mutable_rank()->set_priority(request.rank.priority);
     wire.mutable_rank()->set_worth(request.rank.worth);
     wire.mutable_rank()->set_invested_ns(request.rank.invested.count());
-    for (const admission::RootCosts::Stop &stop : request.rootCosts.stops()) {
+    for (const admission::RootCosts::ServiceCost &stop : request.rootCosts.costs()) {
         wire::RootCost &added = *wire.add_root_costs();
         added.set_service_hash(stop.service);
         added.set_held_us(static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::microseconds>(stop.held).count()));
@@ -45,12 +45,12 @@
 
 [[nodiscard]] static admission::RootCosts readRootCosts(const wire::CallRequest &wire)
 {
-    std::vector<admission::RootCosts::Stop> stops;
-    stops.reserve(static_cast<std::size_t>(wire.root_costs_size()));
+    std::vector<admission::RootCosts::ServiceCost> costs;
+    costs.reserve(static_cast<std::size_t>(wire.root_costs_size()));
     for (const wire::RootCost &cost : wire.root_costs()) {
-        stops.push_back({.service = cost.service_hash(), .held = std::chrono::microseconds{cost.held_us()}});
+        costs.push_back({.service = cost.service_hash(), .held = std::chrono::microseconds{cost.held_us()}});
     }
-    return admission::RootCosts{std::move(stops)};
+    return admission::RootCosts{std::move(costs)};
 }
 
 Result<Message> read(const wire::CallRequest &wire)
--- a/src/egretlatch/protocol/messages.hpp
+++ b/src/egretlatch/protocol/messages.hpp
@@ -100,7 +100,7 @@
     /*! @brief Levels at services further down, as far as the serving daemon has been told. */
     std::vector<ServiceLevel> levels;
     /*! @brief What a request of the kind takes at the services down its chain; told now and then. */
-    admission::ChainStops chain;
+    admission::SlotTimeByService chain;
     /*! @brief How fast the backend server is at the kind that was called, if that is known. */
     std::optional<admission::KindPace> pace;
 
--- a/src/egretlatch/retry/fwd.hpp
+++ b/src/egretlatch/retry/fwd.hpp
@@ -6,19 +6,19 @@
 
 enum class AttemptEnd;
 enum class KeyKnowledge;
-enum class KeyStanding;
+enum class KeyState;
 enum class UnownedKeys;
 
 struct GrantTimes;
 struct KeyInterval;
 struct KeyOwner;
 struct HeldAnswer;
-struct KeyFinding;
+struct KeyLookup;
 struct KeyLedgerLimits;
 
 class RequestKey;
 class KeyLedger;
-class CallWindow;
+class ReplayWindow;
 class ShardRow;
 class ShardGrants;
 class RatioBudget;
--- a/src/egretlatch/retry/key_ledger.cpp
+++ b/src/egretlatch/retry/key_ledger.cpp
@@ -17,17 +17,17 @@
     return bytes;
 }
 
-[[nodiscard]] static KeyStanding standingAfter(const Verdict verdict)
+[[nodiscard]] static KeyState standingAfter(const Verdict verdict)
 {
     switch (verdict) {
     case Verdict::completed:
-        return KeyStanding::answered;
+        return KeyState::answered;
     case Verdict::notRun:
-        return KeyStanding::closed;
+        return KeyState::closed;
     case Verdict::mayHaveRun:
         break;
     }
-    return KeyStanding::uncertain;
+    return KeyState::uncertain;
 }
 
 } // namespace internal
@@ -37,19 +37,19 @@
 {
 }
 
-KeyFinding KeyLedger::find(const std::string &key, const Age age, const std::uint64_t request) const
+KeyLookup KeyLedger::find(const std::string &key, const Age age, const std::uint64_t request) const
 {
     const auto found = m_entries.find(key);
     if (found == m_entries.end()) {
-        return {.standing = age <= m_forgottenThrough ? KeyStanding::forgotten : KeyStanding::fresh};
+        return {.state = age <= m_forgottenThrough ? KeyState::forgotten : KeyState::fresh};
     }
     const Entry &entry = found->second;
     if (entry.request != request) {
-        const Verdict verdict = entry.standing == KeyStanding::closed ? Verdict::notRun : Verdict::mayHaveRun;
-        return {.standing = KeyStanding::mismatched, .verdict = verdict};
+        const Verdict verdict = entry.state == KeyState::closed ? Verdict::notRun : Verdict::mayHaveRun;
+        return {.state = KeyState::mismatched, .verdict = verdict};
     }
-    const HeldAnswer *const answer = entry.standing == KeyStanding::answered ? &entry.answer : nullptr;
-    return {.standing = entry.standing, .answer = answer, .attemptsLeft = entry.attemptsLeft};
+    const HeldAnswer *const answer = entry.state == KeyState::answered ? &entry.answer : nullptr;
+    return {.state = entry.state, .answer = answer, .attemptsLeft = entry.attemptsLeft};
 }
 
 void KeyLedger::begin(const std::string &key, const Age age, const std::uint64_t request)
@@ -64,11 +64,11 @@
 void KeyLedger::end(const std::string &key, const Verdict verdict, HeldAnswer answer, const int attemptsLeft)
 {
     const auto found = m_entries.find(key);
-    if (found == m_entries.end() || found->second.standing != KeyStanding::running) {
+    if (found == m_entries.end() || found->second.state != KeyState::running) {
         return;
     }
     Entry &entry = found->second;
-    entry.standing = internal::standingAfter(verdict);
+    entry.state = internal::standingAfter(verdict);
     entry.attemptsLeft = attemptsLeft;
     m_ended.emplace(entry.age, key);
     if (verdict != Verdict::completed) {
@@ -83,7 +83,7 @@
 void KeyLedger::reopen(const std::string &key)
 {
     const auto found = m_entries.find(key);
-    if (found != m_entries.end() && found->second.standing == KeyStanding::closed) {
+    if (found != m_entries.end() && found->second.state == KeyState::closed) {
         m_ended.erase({found->second.age, key});
         m_entries.erase(found);
     }
@@ -94,7 +94,7 @@
     while (m_entries.size() >= m_limits.entries && !m_ended.empty()) {
         const auto oldest = m_ended.begin();
         const auto entry = m_entries.find(oldest->second);
-        if (entry->second.standing == KeyStanding::answered) {
+        if (entry->second.state == KeyState::answered) {
             m_answerBytes -= internal::sizeOf(entry->second.answer);
         }
         // The key would look fresh to its next resend and run a second time. All keys of its age and older are closed
@@ -110,12 +110,12 @@
     while (m_answerBytes > m_limits.answerBytes || m_answered.size() > m_limits.entries) {
         const auto found = m_entries.find(m_answered.front());
         m_answered.pop_front();
-        if (found == m_entries.end() || found->second.standing != KeyStanding::answered) {
+        if (found == m_entries.end() || found->second.state != KeyState::answered) {
             continue;
         }
         m_answerBytes -= internal::sizeOf(found->second.answer);
         found->second.answer = {};
-        found->second.standing = KeyStanding::answerDropped;
+        found->second.state = KeyState::answerDropped;
     }
 }
 
--- a/src/egretlatch/retry/key_ledger.hpp
+++ b/src/egretlatch/retry/key_ledger.hpp
@@ -28,7 +28,7 @@
 };
 
 /*! @brief What the owner knows of a key. */
-enum class KeyStanding {
+enum class KeyState {
     /*! @brief Never begun, and may be. */
     fresh,
     /*! @brief Being run. */
@@ -58,9 +58,9 @@
 };
 
 /*! @brief What the ledger finds under a key. */
-struct KeyFinding
+struct KeyLookup
 {
-    KeyStanding standing{};
+    KeyState state{};
     /*! @brief Set where the answer is held; valid until the next change of the ledger. */
     const HeldAnswer *answer{};
     /*! @brief Attempts that the last run of the key left over. */
@@ -102,7 +102,7 @@
      * @param request Hash of the request that comes with it.
      * @return What is known.
      */
-    [[nodiscard]] KeyFinding find(const std::string &key, Age age, std::uint64_t request) const;
+    [[nodiscard]] KeyLookup find(const std::string &key, Age age, std::uint64_t request) const;
 
     /**
      * @brief Enters a fresh key as running; called before its first attempt leaves the daemon.
@@ -137,7 +137,7 @@
     {
         Age age{};
         std::uint64_t request{};
-        KeyStanding standing{KeyStanding::running};
+        KeyState state{KeyState::running};
         HeldAnswer answer;
         int attemptsLeft{};
     };
--- a/src/egretlatch/retry/ratio_budget.cpp
+++ b/src/egretlatch/retry/ratio_budget.cpp
@@ -5,12 +5,12 @@
 namespace egretlatch::retry
 {
 
-void RatioBudget::setMostSaved(const double mostSaved)
+void RatioBudget::setMaxSaved(const double mostSaved)
 {
     m_mostSaved = mostSaved;
 }
 
-void RatioBudget::noteFirst(const std::string &service, const double ratio)
+void RatioBudget::noteFirstAttempt(const std::string &service, const double ratio)
 {
     const auto found = m_spent.find(service);
     if (found != m_spent.end()) {
--- a/src/egretlatch/retry/ratio_budget.hpp
+++ b/src/egretlatch/retry/ratio_budget.hpp
@@ -25,14 +25,14 @@
      * @brief Sets how many retries may be saved up for a service; by default mostSaved.
      * @param mostSaved Their number.
      */
-    void setMostSaved(double mostSaved);
+    void setMaxSaved(double mostSaved);
 
     /**
      * @brief Notes a first attempt.
      * @param service Name of the service.
      * @param ratio Retries that one first attempt pays for.
      */
-    void noteFirst(const std::string &service, double ratio);
+    void noteFirstAttempt(const std::string &service, double ratio);
 
     /**
      * @brief Pays for a retry.
--- a/src/egretlatch/retry/call_window.cpp
+++ b/src/egretlatch/retry/replay_window.cpp
@@ -1,11 +1,11 @@
-#include <egretlatch/retry/call_window.hpp>
+#include <egretlatch/retry/replay_window.hpp>
 
 #include <algorithm>
 
 namespace egretlatch::retry
 {
 
-bool CallWindow::pass(const DaemonId &daemon, const Incarnation incarnation, const CallId call)
+bool ReplayWindow::accept(const DaemonId &daemon, const Incarnation incarnation, const CallId call)
 {
     Window &window = m_windows[daemon];
     if (incarnation < window.incarnation) {
--- a/src/egretlatch/retry/call_window.hpp
+++ b/src/egretlatch/retry/replay_window.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_RETRY_CALL_WINDOW_HPP
-#define EGRETLATCH_RETRY_CALL_WINDOW_HPP
+#ifndef EGRETLATCH_RETRY_REPLAY_WINDOW_HPP
+#define EGRETLATCH_RETRY_REPLAY_WINDOW_HPP
 
 #include <bitset>
 #include <map>
@@ -16,7 +16,7 @@
  * run a request again, or run one that was refused as not run. Call ids of one life only grow, so the window need only
  * hold the latest ones; what lies below it does not pass, seen or not.
  */
-class CallWindow
+class ReplayWindow
 {
 public:
     /*! @brief Call ids held for each daemon; a call that comes after so many newer ones does not pass. */
@@ -29,7 +29,7 @@
      * @param call The call.
      * @return True exactly once for each call.
      */
-    [[nodiscard]] bool pass(const DaemonId &daemon, Incarnation incarnation, CallId call);
+    [[nodiscard]] bool accept(const DaemonId &daemon, Incarnation incarnation, CallId call);
 
 private:
     struct Window
--- a/src/egretlatch/retry/shard_grants.cpp
+++ b/src/egretlatch/retry/shard_grants.cpp
@@ -111,7 +111,7 @@
     });
 }
 
-void ShardGrants::noteAsked(const store::RequestId id, const store::Request &request)
+void ShardGrants::noteRequestSent(const store::RequestId id, const store::Request &request)
 {
     if (std::holds_alternative<store::TableScan>(request)) {
         m_asked.emplace(id, std::nullopt);
@@ -174,7 +174,7 @@
     case store::WriteStep::askLater:
         shard.askAt = now + m_times.retryInterval / 2 + std::chrono::milliseconds{m_random.below(static_cast<std::uint64_t>(m_times.retryInterval.count()))};
         return;
-    case store::WriteStep::effected:
+    case store::WriteStep::applied:
         shard.row = shard.written;
         break;
     case store::WriteStep::rejected:
--- a/src/egretlatch/retry/shard_grants.hpp
+++ b/src/egretlatch/retry/shard_grants.hpp
@@ -78,7 +78,7 @@
      * @param id The id.
      * @param request The request.
      */
-    void noteAsked(store::RequestId id, const store::Request &request);
+    void noteRequestSent(store::RequestId id, const store::Request &request);
 
     /**
      * @brief Takes an outcome.
--- a/src/egretlatch/retry/verdict_rules.cpp
+++ b/src/egretlatch/retry/verdict_rules.cpp
@@ -11,16 +11,16 @@
     case AttemptEnd::answered:
         return Verdict::completed;
     case AttemptEnd::neverSent:
-    case AttemptEnd::refusedAtDoor:
-    case AttemptEnd::leftQueue:
+    case AttemptEnd::refusedOnArrival:
+    case AttemptEnd::removedFromQueue:
     case AttemptEnd::neverConnected:
     case AttemptEnd::rejectedByServer:
-    case AttemptEnd::missedEarlierLife:
+    case AttemptEnd::missedEarlierIncarnation:
         return Verdict::notRun;
     case AttemptEnd::connectionLost:
     case AttemptEnd::aborted:
     case AttemptEnd::unanswered:
-    case AttemptEnd::meantForEarlierLife:
+    case AttemptEnd::meantForEarlierIncarnation:
         break;
     }
     return Verdict::mayHaveRun;
@@ -34,7 +34,7 @@
     return earlier == Verdict::notRun && last == Verdict::notRun ? Verdict::notRun : Verdict::mayHaveRun;
 }
 
-Verdict verdictOnKey(const KeyKnowledge knowledge, const Verdict attempts) noexcept
+Verdict verdictForKey(const KeyKnowledge knowledge, const Verdict attempts) noexcept
 {
     if (knowledge == KeyKnowledge::none && attempts == Verdict::notRun) {
         return Verdict::mayHaveRun;
@@ -42,9 +42,9 @@
     return attempts;
 }
 
-Verdict verdictUnread(const std::string_view key) noexcept
+Verdict verdictBeforeLookup(const std::string_view key) noexcept
 {
-    return verdictOnKey(key.empty() || !isUsableKey(key) ? KeyKnowledge::noKey : KeyKnowledge::none, Verdict::notRun);
+    return verdictForKey(key.empty() || !isUsableKey(key) ? KeyKnowledge::noKey : KeyKnowledge::none, Verdict::notRun);
 }
 
 } // namespace egretlatch::retry
--- a/src/egretlatch/retry/verdict_rules.hpp
+++ b/src/egretlatch/retry/verdict_rules.hpp
@@ -15,9 +15,9 @@
     /*! @brief The message never left the daemon that makes the attempt. */
     neverSent,
     /*! @brief The serving daemon refused it at the door; its call id is spent, so no copy of it starts later. */
-    refusedAtDoor,
+    refusedOnArrival,
     /*! @brief It was taken out of the queue before it was started. */
-    leftQueue,
+    removedFromQueue,
     /*! @brief The backend server took no connection. */
     neverConnected,
     /*! @brief The backend server said that it did not start the request. */
@@ -29,9 +29,9 @@
     /*! @brief No answer came in time; the message may be under way still. */
     unanswered,
     /*! @brief It was meant for an earlier life of the serving daemon, which may have run it. */
-    meantForEarlierLife,
+    meantForEarlierIncarnation,
     /*! @brief It was meant for an earlier life of the serving daemon, which has not got it. */
-    missedEarlierLife,
+    missedEarlierIncarnation,
 };
 
 /**
@@ -65,14 +65,14 @@
  * @param attempts Verdict on the attempts that this daemon knows of.
  * @return The verdict to tell; never `not-run` of a key whose attempts are not all known.
  */
-[[nodiscard]] Verdict verdictOnKey(KeyKnowledge knowledge, Verdict attempts) noexcept;
+[[nodiscard]] Verdict verdictForKey(KeyKnowledge knowledge, Verdict attempts) noexcept;
 
 /**
  * @brief Judges a request that is refused before anything is known of its key.
  * @param key The key as the caller gave it; empty if it gave none.
  * @return `not-run` without a key, or with one that no daemon takes; otherwise an earlier attempt may have run elsewhere.
  */
-[[nodiscard]] Verdict verdictUnread(std::string_view key) noexcept;
+[[nodiscard]] Verdict verdictBeforeLookup(std::string_view key) noexcept;
 
 } // namespace egretlatch::retry
 
--- a/src/egretlatch/settings/common_readers.cpp
+++ b/src/egretlatch/settings/common_readers.cpp
@@ -5,20 +5,20 @@
 
 Policy readPolicy(JsonObjectReader &reader)
 {
-    const std::string word = reader.word("policy", {"adaptive", "none", "static-limit", "priority-only"}, "adaptive");
-    if (word == "none") {
+    const std::string choice = reader.choice("policy", {"adaptive", "none", "static-limit", "priority-only"}, "adaptive");
+    if (choice == "none") {
         return Policy::none;
     }
-    if (word == "static-limit") {
+    if (choice == "static-limit") {
         return Policy::staticLimit;
     }
-    return word == "priority-only" ? Policy::priorityOnly : Policy::adaptive;
+    return choice == "priority-only" ? Policy::priorityOnly : Policy::adaptive;
 }
 
 LogLevel readLogLevel(JsonObjectReader &reader)
 {
-    const std::string word = reader.word("logLevel", {"debug", "info", "warning", "error"}, "info");
-    return logLevelFromString(word).value_or(LogLevel::info);
+    const std::string choice = reader.choice("logLevel", {"debug", "info", "warning", "error"}, "info");
+    return logLevelFromString(choice).value_or(LogLevel::info);
 }
 
 } // namespace egretlatch::settings
--- a/src/egretlatch/settings/daemon_settings.cpp
+++ b/src/egretlatch/settings/daemon_settings.cpp
@@ -12,10 +12,10 @@
 {
 
 constexpr std::int64_t mebibyte = 1024LL * 1024LL;
-constexpr Range<std::int64_t> portRange{.least = 1, .most = 65535};
-constexpr Range<std::int64_t> bodyRange{.least = 1, .most = 64 * mebibyte};
+constexpr Range<std::int64_t> portRange{.min = 1, .max = 65535};
+constexpr Range<std::int64_t> bodyRange{.min = 1, .max = 64 * mebibyte};
 constexpr std::int64_t defaultMaxBody = 8 * mebibyte;
-constexpr Range<std::int64_t> seedRange{.least = 0, .most = 9007199254740991};
+constexpr Range<std::int64_t> seedRange{.min = 0, .max = 9007199254740991};
 
 [[nodiscard]] static PeerSettings readPeer(const QJsonValue &value, const std::string &pointer, Problems &problems)
 {
@@ -61,7 +61,7 @@
 
 [[nodiscard]] static std::optional<PeerKeys> readPeerSecurity(JsonObjectReader &reader, Problems &problems)
 {
-    const bool isOn = reader.word("peerEncryption", {"on", "off"}, "on") == "on";
+    const bool isOn = reader.choice("peerEncryption", {"on", "off"}, "on") == "on";
     const std::optional<QJsonValue> keys = reader.member("peerKeys");
     if (keys.has_value()) {
         const PeerKeys read = readPeerKeys(*keys, reader.pointerTo("peerKeys"), problems);
@@ -126,11 +126,11 @@
     settings.platformUrl = internal::readUrl(reader, "platformUrl", "");
     settings.platformTokenFile = reader.text("platformTokenFile", "");
     settings.operatorTokenFile = reader.text("operatorTokenFile", "");
-    settings.isOpenToOperators = reader.word("operatorAccess", {"token", "open"}, "token") == "open";
+    settings.isOpenToOperators = reader.choice("operatorAccess", {"token", "open"}, "token") == "open";
     settings.collectorUrl = internal::readUrl(reader, "collectorUrl", "");
     settings.maxBodyBytes = reader.integer("maxBodyBytes", internal::bodyRange, internal::defaultMaxBody);
     settings.policy = readPolicy(reader);
-    settings.ownsUnnamedKeys = reader.word("keysWithoutOwner", {"refuse", "entry-memory"}, "refuse") == "entry-memory";
+    settings.ownsKeysWithoutOwner = reader.choice("keysWithoutOwner", {"refuse", "entry-memory"}, "refuse") == "entry-memory";
     settings.logLevel = readLogLevel(reader);
     settings.seed = internal::readSeed(reader);
     if (settings.callerPort == settings.peerPort) {
