--- a/src/egretlatch/settings/daemon_settings.hpp
+++ b/src/egretlatch/settings/daemon_settings.hpp
@@ -71,7 +71,7 @@
     std::int64_t maxBodyBytes{};
     Policy policy{Policy::adaptive};
     /*! @brief Whether the entry owns request keys that name no owner; safe only with a single entry that is never restarted. */
-    bool ownsUnnamedKeys{};
+    bool ownsKeysWithoutOwner{};
     LogLevel logLevel{LogLevel::info};
     /*! @brief Seed of the random source; without one, the machine's entropy. */
     std::optional<std::uint64_t> seed;
--- a/src/egretlatch/settings/json_object_reader.cpp
+++ b/src/egretlatch/settings/json_object_reader.cpp
@@ -122,7 +122,7 @@
     return result;
 }
 
-std::string JsonObjectReader::word(const std::string_view key, const std::vector<std::string> &words, const std::optional<std::string> &fallback)
+std::string JsonObjectReader::choice(const std::string_view key, const std::vector<std::string> &words, const std::optional<std::string> &fallback)
 {
     const std::string allowed = fmt::format("one of {}", fmt::join(words, ", "));
     const QJsonValue value = take(key, !fallback.has_value(), allowed);
@@ -139,33 +139,33 @@
 
 std::int64_t JsonObjectReader::integer(const std::string_view key, const Range<std::int64_t> range, const std::optional<std::int64_t> fallback)
 {
-    const std::string allowed = fmt::format("a whole number from {} to {}", range.least, range.most);
+    const std::string allowed = fmt::format("a whole number from {} to {}", range.min, range.max);
     const QJsonValue value = take(key, !fallback.has_value(), allowed);
     if (value.isUndefined()) {
-        return fallback.value_or(range.least);
+        return fallback.value_or(range.min);
     }
     const double number = value.toDouble(std::nan(""));
     const bool isWhole = value.isDouble() && std::floor(number) == number;
-    const bool isInRange = isWhole && number >= static_cast<double>(range.least) && number <= static_cast<double>(range.most);
+    const bool isInRange = isWhole && number >= static_cast<double>(range.min) && number <= static_cast<double>(range.max);
     if (!isInRange) {
         report(key, describe(value), allowed);
-        return range.least;
+        return range.min;
     }
     return static_cast<std::int64_t>(number);
 }
 
 double JsonObjectReader::number(const std::string_view key, const Range<double> range, const std::optional<double> fallback)
 {
-    const std::string allowed = fmt::format("a number from {} to {}", range.least, range.most);
+    const std::string allowed = fmt::format("a number from {} to {}", range.min, range.max);
     const QJsonValue value = take(key, !fallback.has_value(), allowed);
     if (value.isUndefined()) {
-        return fallback.value_or(range.least);
+        return fallback.value_or(range.min);
     }
     const double result = value.toDouble(std::nan(""));
-    const bool isInRange = value.isDouble() && result >= range.least && result <= range.most;
+    const bool isInRange = value.isDouble() && result >= range.min && result <= range.max;
     if (!isInRange) {
         report(key, describe(value), allowed);
-        return range.least;
+        return range.min;
     }
     return result;
 }
--- a/src/egretlatch/settings/json_object_reader.hpp
+++ b/src/egretlatch/settings/json_object_reader.hpp
@@ -21,8 +21,8 @@
 template<typename Number>
 struct Range
 {
-    Number least{};
-    Number most{};
+    Number min{};
+    Number max{};
 };
 
 /**
@@ -59,7 +59,7 @@
      * @param fallback Value if it is missing; without one, the member is required.
      * @return The word, or the first allowed one if it is wrong.
      */
-    [[nodiscard]] std::string word(std::string_view key, const std::vector<std::string> &words, const std::optional<std::string> &fallback = std::nullopt);
+    [[nodiscard]] std::string choice(std::string_view key, const std::vector<std::string> &words, const std::optional<std::string> &fallback = std::nullopt);
 
     /**
      * @brief Reads a whole number.
--- a/src/egretlatch/settings/mechanism.hpp
+++ b/src/egretlatch/settings/mechanism.hpp
@@ -31,7 +31,7 @@
 };
 
 /*! @brief What an experiment does without; empty in operation. */
-using SwitchedOff = std::set<Mechanism>;
+using DisabledMechanisms = std::set<Mechanism>;
 
 /*! @brief A mechanism and its name in settings. */
 struct MechanismName
--- a/src/egretlatch/settings/sidecar_settings.cpp
+++ b/src/egretlatch/settings/sidecar_settings.cpp
@@ -13,7 +13,7 @@
 namespace internal
 {
 
-constexpr Range<std::int64_t> sidecarPortRange{.least = 1, .most = 65535};
+constexpr Range<std::int64_t> sidecarPortRange{.min = 1, .max = 65535};
 
 [[nodiscard]] static net::Endpoint readEndpoint(JsonObjectReader &reader, const std::string &key)
 {
@@ -31,7 +31,7 @@
     reader.list("peerPorts", true, [&ports](const QJsonValue &element, const std::string & /*pointer*/) {
         ports.push_back(element.toInt(-1));
     });
-    const bool isUsable = !ports.empty() && ports.front() >= sidecarPortRange.least && ports.front() <= sidecarPortRange.most;
+    const bool isUsable = !ports.empty() && ports.front() >= sidecarPortRange.min && ports.front() <= sidecarPortRange.max;
     if (!isUsable) {
         reader.report("peerPorts", "no port", "a list whose first number is a port");
         return 0;
@@ -39,9 +39,9 @@
     return static_cast<std::uint16_t>(ports.front());
 }
 
-[[nodiscard]] static SwitchedOff readSwitchedOff(JsonObjectReader &reader)
+[[nodiscard]] static DisabledMechanisms readSwitchedOff(JsonObjectReader &reader)
 {
-    SwitchedOff switchedOff;
+    DisabledMechanisms disabledMechanisms;
     reader.list("switchedOff", false, [&](const QJsonValue &element, const std::string & /*pointer*/) {
         const std::string word = element.toString().toStdString();
         const auto found = std::find_if(mechanismNames.begin(), mechanismNames.end(), [&word](const MechanismName &candidate) {
@@ -51,9 +51,9 @@
             reader.report("switchedOff", describe(element), "names of mechanisms");
             return;
         }
-        switchedOff.insert(found->mechanism);
+        disabledMechanisms.insert(found->mechanism);
     });
-    return switchedOff;
+    return disabledMechanisms;
 }
 
 // The bounds as texts of the form `name=value`, whatever the type of the value.
@@ -102,7 +102,7 @@
     }
     settings.boundTexts = internal::readBoundTexts(reader, problems);
     settings.policy = readPolicy(reader);
-    settings.switchedOff = internal::readSwitchedOff(reader);
+    settings.disabledMechanisms = internal::readSwitchedOff(reader);
     settings.logLevel = readLogLevel(reader);
     if (hasError(problems)) {
         return tl::unexpected{problems};
--- a/src/egretlatch/settings/sidecar_settings.hpp
+++ b/src/egretlatch/settings/sidecar_settings.hpp
@@ -50,7 +50,7 @@
     std::vector<std::string> boundTexts;
     Policy policy{Policy::adaptive};
     /*! @brief For experiments alone; operators leave it out. */
-    SwitchedOff switchedOff;
+    DisabledMechanisms disabledMechanisms;
     LogLevel logLevel{LogLevel::info};
 
     friend bool operator==(const SidecarSettings &, const SidecarSettings &) = default;
--- a/src/egretlatch/sidecar/adaptive_options.hpp
+++ b/src/egretlatch/sidecar/adaptive_options.hpp
@@ -9,10 +9,10 @@
 
 /**
  * @brief Gives how daemons on the users' machines decide.
- * @param switchedOff What an experiment does without.
+ * @param disabledMechanisms What an experiment does without.
  * @return The options of the adaptive policy.
  */
-[[nodiscard]] daemon::AdaptiveOptions adaptiveOptions(const settings::SwitchedOff &switchedOff);
+[[nodiscard]] daemon::AdaptiveOptions adaptiveOptions(const settings::DisabledMechanisms &disabledMechanisms);
 
 } // namespace egretlatch::sidecar
 
--- a/src/egretlatch/sidecar/backend_runner.cpp
+++ b/src/egretlatch/sidecar/backend_runner.cpp
@@ -32,9 +32,9 @@
 
 void BackendRunner::start(const decision::StartRun &start, const std::string &instance)
 {
-    http::Outgoing outgoing;
+    http::OutgoingRequest outgoing;
     outgoing.bytes = http::encode(platform::writeRun(start.request, instance));
-    outgoing.isOwn = [name = platform::requestNameOf(start.request)](const http::Response &answer) {
+    outgoing.isMatchingResponse = [name = platform::requestNameOf(start.request)](const http::Response &answer) {
         return platform::isAnswerTo(answer, name);
     };
     outgoing.deadline = m_clock.steadyNow() + start.request.remaining + internal::deadlineMargin;
--- a/src/egretlatch/sidecar/caller_front.cpp
+++ b/src/egretlatch/sidecar/caller_front.cpp
@@ -32,7 +32,7 @@
 {
     decision::CallerAnswer answer;
     answer.status = notFound;
-    answer.mistake = "no route begins this path";
+    answer.requestError = "no route begins this path";
     return answer;
 }
 
--- a/src/egretlatch/sidecar/request_log.cpp
+++ b/src/egretlatch/sidecar/request_log.cpp
@@ -23,9 +23,9 @@
                    {"configuration", record.refusal.configurationVersion}});
 }
 
-void RequestLog::write(const decision::NoteRequest &note) const
+void RequestLog::write(const decision::LogRequest &note) const
 {
-    m_logger.info(note.what,
+    m_logger.info(note.event,
                   {{"request", note.requestName},
                    {"service", note.service},
                    {"kind", note.kind},
--- a/src/egretlatch/sidecar/request_log.hpp
+++ b/src/egretlatch/sidecar/request_log.hpp
@@ -30,7 +30,7 @@
      * @brief Writes what else happened to a request.
      * @param note What happened.
      */
-    void write(const decision::NoteRequest &note) const;
+    void write(const decision::LogRequest &note) const;
 
 private:
     const Logger &m_logger;
--- a/src/egretlatch/sidecar/sidecar.cpp
+++ b/src/egretlatch/sidecar/sidecar.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-#include <egretlatch/core/fresh_life.hpp>
+#include <egretlatch/core/new_incarnation.hpp>
 #include <egretlatch/platform/bounds.hpp>
 #include <egretlatch/platform/configuration_document.hpp>
 #include <egretlatch/platform/names.hpp>
@@ -45,8 +45,8 @@
     , m_logger{m_settings.logLevel, m_settings.id.value, m_logSink}
     , m_requestLog{m_logger}
     , m_levelLog{m_logger}
-    , m_random{freshSeed()}
-    , m_incarnation{incarnationAt(m_clock)}
+    , m_random{randomSeed()}
+    , m_incarnation{newIncarnation(m_clock)}
     , m_peers{m_poller,
               m_clock,
               m_settings.id,
@@ -132,22 +132,22 @@
     builder.followPlatform();
     builder.setConfigurationFeed();
     builder.setUnownedKeys(retry::UnownedKeys::notNeeded);
-    builder.setDelivery(decision::Delivery::oneLife);
-    builder.allowRaise();
+    builder.setDelivery(decision::Delivery::oneIncarnation);
+    builder.allowIncarnationRaise();
     builder.setEntryRules({.countsOnlyArrivals = true, .retrySlack = m_bounds.retrySlack * usedShareOfRetries(), .traces = false});
-    builder.setDoorTimes({
+    builder.setDrainTimes({
         .afterReport = internal::doorShare * m_bounds.drain / internal::hundredths,
         // The server beside this daemon goes on, so the door stays open for daemons that know of no other.
         .afterSignal = leavingTimesOf(m_bounds.grace, {}).notice,
         .lastStart = internal::lastStartShare * m_bounds.drain / internal::hundredths,
     });
-    daemon::applyPolicy(m_settings.policy, m_random, builder, adaptiveOptions(m_settings.switchedOff));
+    daemon::applyPolicy(m_settings.policy, m_random, builder, adaptiveOptions(m_settings.disabledMechanisms));
     return builder.build();
 }
 
 double Sidecar::usedShareOfRetries() const
 {
-    return m_settings.switchedOff.contains(settings::Mechanism::retries) ? 0.0 : internal::usedShareOfRetries;
+    return m_settings.disabledMechanisms.contains(settings::Mechanism::retries) ? 0.0 : internal::usedShareOfRetries;
 }
 
 Result<void> Sidecar::start()
@@ -155,7 +155,7 @@
     if (Result<void> listening = listen(); !listening.has_value()) {
         return listening;
     }
-    m_front.setOverlap(!m_settings.switchedOff.contains(settings::Mechanism::overlap));
+    m_front.setOverlap(!m_settings.disabledMechanisms.contains(settings::Mechanism::overlap));
     m_startedAt = m_clock.steadyNow();
     m_houseTimer.start();
     m_feed.tick();
@@ -241,18 +241,18 @@
         });
     } else if (const auto *const refusal = std::get_if<decision::RecordRefusal>(&action)) {
         m_requestLog.write(*refusal);
-    } else if (const auto *const note = std::get_if<decision::NoteRequest>(&action)) {
+    } else if (const auto *const note = std::get_if<decision::LogRequest>(&action)) {
         m_requestLog.write(*note);
     } else if (const auto *const inForce = std::get_if<decision::ManifestInForce>(&action)) {
-        m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"bringer", inForce->bringer.value}});
+        m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"bringer", inForce->sourceDaemon.value}});
         putInForce();
     } else if (const auto *const changed = std::get_if<decision::MemberChanged>(&action)) {
         m_logger.info("member changed", {{"member", changed->id.value}, {"state", membership::toString(changed->state)}});
-    } else if (const auto *const heard = std::get_if<decision::DepartureHeard>(&action)) {
+    } else if (const auto *const heard = std::get_if<decision::DepartureReported>(&action)) {
         m_logger.info("departure heard", {{"instance", heard->instance}});
-    } else if (const auto *const raised = std::get_if<decision::LifeRaised>(&action)) {
+    } else if (const auto *const raised = std::get_if<decision::IncarnationRaised>(&action)) {
         m_logger.warning("life raised", {{"from", raised->from.value}, {"to", raised->to.value}});
-        m_peers.beginLife(raised->to);
+        m_peers.beginIncarnation(raised->to);
     } else if (std::holds_alternative<decision::Drained>(action)) {
         endNow("nothing is under way");
     }
--- a/src/egretlatch/sidecar/store_client.cpp
+++ b/src/egretlatch/sidecar/store_client.cpp
@@ -69,11 +69,11 @@
 
 void StoreClient::call(const http::Request &request, const std::chrono::milliseconds timeout, AnswerHandler onAnswer)
 {
-    http::Outgoing outgoing;
+    http::OutgoingRequest outgoing;
     http::Request addressed = request;
     addressed.headers.push_back({.name = "Host", .value = m_host});
     outgoing.bytes = http::encode(addressed);
-    outgoing.isOwn = [](const http::Response & /*response*/) {
+    outgoing.isMatchingResponse = [](const http::Response & /*response*/) {
         return true;
     };
     outgoing.deadline = m_clock.steadyNow() + timeout;
--- a/src/egretlatch/store/fwd.hpp
+++ b/src/egretlatch/store/fwd.hpp
@@ -16,7 +16,7 @@
 struct HttpRequest;
 class Backoff;
 class IdentifiedWrite;
-class RateCap;
+class RateLimiter;
 
 } // namespace egretlatch::store
 
--- a/src/egretlatch/store/identified_write.cpp
+++ b/src/egretlatch/store/identified_write.cpp
@@ -3,9 +3,9 @@
 namespace egretlatch::store
 {
 
-IdentifiedWrite::IdentifiedWrite(TableWrite write, std::string witness, IsMine isMine)
+IdentifiedWrite::IdentifiedWrite(TableWrite write, std::string marker, IsMine isMine)
     : m_write{std::move(write)}
-    , m_witness{std::move(witness)}
+    , m_witness{std::move(marker)}
     , m_isMine{std::move(isMine)}
 {
 }
@@ -27,7 +27,7 @@
 {
     if (outcome.has_value()) {
         m_isUnsure = false;
-        return WriteStep::effected;
+        return WriteStep::applied;
     }
     switch (outcome.error().code) {
     case ErrorCode::conflict:
@@ -56,7 +56,7 @@
     m_row = reply->rows.empty() ? std::nullopt : std::optional{reply->rows.front()};
     if (m_row.has_value() && m_isMine(m_row->value)) {
         m_isUnsure = false;
-        return WriteStep::effected;
+        return WriteStep::applied;
     }
     if (m_hasConflicted) {
         m_isUnsure = false;
--- a/src/egretlatch/store/identified_write.hpp
+++ b/src/egretlatch/store/identified_write.hpp
@@ -17,36 +17,36 @@
     /*! @brief Ask request() after a backoff. */
     askLater,
     /*! @brief The write took effect, now or at an earlier attempt. */
-    effected,
-    /*! @brief The write has not taken effect and never will; witness() shows who was first. */
+    applied,
+    /*! @brief The write has not taken effect and never will; marker() shows who was first. */
     rejected,
 };
 
 /**
  * @brief A conditional write that is carried through lost answers, by reading back one's own write id.
  *
- * The write names a witness row: it is among the rows written, its value holds an id that no other writer uses, and its
+ * The write names a marker row: it is among the rows written, its value holds an id that no other writer uses, and its
  * version is among the conditions. So at most one attempt takes effect, one that is still on its way cannot take effect
- * once somebody else has written the witness, and a read of the witness tells the two ends apart. The witness must not be
+ * once somebody else has written the marker, and a read of the marker tells the two ends apart. The marker must not be
  * overwritten by others before the end is known.
  */
 class IdentifiedWrite
 {
 public:
-    /*! @brief Tells whether a value of the witness row holds one's own write id. */
+    /*! @brief Tells whether a value of the marker row holds one's own write id. */
     using IsMine = std::function<bool(const std::string &value)>;
 
     /**
      * @brief Builds a write that has not been sent.
      * @param write The write.
-     * @param witness Key of the witness row.
+     * @param marker Key of the marker row.
      * @param isMine Recognises one's own value of it.
      */
-    IdentifiedWrite(TableWrite write, std::string witness, IsMine isMine);
+    IdentifiedWrite(TableWrite write, std::string marker, IsMine isMine);
 
     /**
      * @brief Gives what to ask the platform next.
-     * @return The write, or a read of the witness.
+     * @return The write, or a read of the marker.
      */
     [[nodiscard]] Request request() const;
 
@@ -58,10 +58,10 @@
     [[nodiscard]] WriteStep take(const Outcome &outcome);
 
     /**
-     * @brief Gives the witness as it was read last.
+     * @brief Gives the marker as it was read last.
      * @return The row of the first writer after `rejected`; nothing if the row does not exist.
      */
-    [[nodiscard]] const std::optional<Row> &witness() const noexcept
+    [[nodiscard]] const std::optional<Row> &marker() const noexcept
     {
         return m_row;
     }
@@ -70,7 +70,7 @@
      * @brief Tells whether an attempt may still take effect.
      * @return True from a lost answer until the end is known.
      */
-    [[nodiscard]] bool isUnsure() const noexcept
+    [[nodiscard]] bool isOutcomeUnknown() const noexcept
     {
         return m_isUnsure;
     }
--- a/src/egretlatch/store/rate_cap.hpp
+++ b/src/egretlatch/store/rate_limiter.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_STORE_RATE_CAP_HPP
-#define EGRETLATCH_STORE_RATE_CAP_HPP
+#ifndef EGRETLATCH_STORE_RATE_LIMITER_HPP
+#define EGRETLATCH_STORE_RATE_LIMITER_HPP
 
 #include <egretlatch/core/clock.hpp>
 
@@ -12,7 +12,7 @@
  * A token bucket that is filled at the fleet's rate divided by the number of daemons. Whatever goes wrong in all
  * daemons at once, the fleet stays under the rate that the platform carries.
  */
-class RateCap
+class RateLimiter
 {
 public:
     /**
@@ -20,7 +20,7 @@
      * @param fleetRate Requests a second of all daemons together.
      * @param burst Requests that one daemon may send at once after a rest; at least one.
      */
-    RateCap(double fleetRate, double burst);
+    RateLimiter(double fleetRate, double burst);
 
     /**
      * @brief Sets how many daemons share the rate.
--- a/standin/load/parse_scenario.cpp
+++ b/standin/load/parse_scenario.cpp
@@ -17,18 +17,18 @@
 using egretlatch::settings::Problems;
 using egretlatch::settings::Range;
 
-constexpr Range<double> shareRange{.least = 0.0, .most = 1e6};
-constexpr Range<double> fractionRange{.least = 0.0, .most = 1.0};
-constexpr Range<double> backoffRange{.least = 1.0, .most = 10.0};
-constexpr Range<std::int64_t> secondsRange{.least = 1, .most = 3'600};
-constexpr Range<std::int64_t> overloadRange{.least = 0, .most = 3'600};
-constexpr Range<std::int64_t> rateRange{.least = 0, .most = 50'000};
-constexpr Range<std::int64_t> timeRange{.least = 0, .most = 3'600'000};
-constexpr Range<std::int64_t> resendsRange{.least = 0, .most = 100};
-constexpr Range<std::int64_t> bodyRange{.least = 0, .most = 1'000'000};
-constexpr Range<std::int64_t> countRange{.least = 1, .most = 10'000};
-constexpr Range<std::int64_t> serverRange{.least = -1, .most = 10'000};
-constexpr Range<std::int64_t> seedRange{.least = 0, .most = 1'000'000'000};
+constexpr Range<double> shareRange{.min = 0.0, .max = 1e6};
+constexpr Range<double> fractionRange{.min = 0.0, .max = 1.0};
+constexpr Range<double> backoffRange{.min = 1.0, .max = 10.0};
+constexpr Range<std::int64_t> secondsRange{.min = 1, .max = 3'600};
+constexpr Range<std::int64_t> overloadRange{.min = 0, .max = 3'600};
+constexpr Range<std::int64_t> rateRange{.min = 0, .max = 50'000};
+constexpr Range<std::int64_t> timeRange{.min = 0, .max = 3'600'000};
+constexpr Range<std::int64_t> resendsRange{.min = 0, .max = 100};
+constexpr Range<std::int64_t> bodyRange{.min = 0, .max = 1'000'000};
+constexpr Range<std::int64_t> countRange{.min = 1, .max = 10'000};
+constexpr Range<std::int64_t> serverRange{.min = -1, .max = 10'000};
+constexpr Range<std::int64_t> seedRange{.min = 0, .max = 1'000'000'000};
 constexpr int defaultBodyBytes = 128;
 constexpr int defaultResendDelayMs = 50;
 constexpr int defaultCancelDelayMs = 20;
@@ -67,7 +67,7 @@
     callers.cancelShare = reader.number("cancelShare", fractionRange, 0.0);
     callers.cancelAfter = reader.milliseconds("cancelAfterMs", timeRange, defaultCancelDelayMs);
     callers.bodyBytes = static_cast<int>(reader.integer("bodyBytes", bodyRange, defaultBodyBytes));
-    callers.keys = reader.word("keys", {"daemon", "caller"}, "daemon") == "daemon" ? KeySource::daemon : KeySource::caller;
+    callers.keys = reader.choice("keys", {"daemon", "caller"}, "daemon") == "daemon" ? KeySource::daemon : KeySource::caller;
     reader.finish();
     return callers;
 }
@@ -90,11 +90,11 @@
     JsonObjectReader reader{value, pointer, problems};
     FaultStep step;
     step.at = reader.milliseconds("atMs", timeRange);
-    const std::string action = reader.word("do", {"control", "stop", "continue", "kill", "restart", "drain", "replace", "submit"});
+    const std::string action = reader.choice("do", {"control", "stop", "continue", "kill", "restart", "drain", "replace", "submit"});
     step.action = action == "control" ? FaultAction::control : FaultAction::process;
     step.service = reader.text("service", "");
     step.server = static_cast<int>(reader.integer("server", serverRange, -1));
-    static_cast<void>(reader.word("process", {"backend", "daemon", "platform"}, "backend"));
+    static_cast<void>(reader.choice("process", {"backend", "daemon", "platform"}, "backend"));
     static_cast<void>(reader.integer("operators", countRange, 1));
     const std::optional<QJsonValue> behaviour = reader.member("behaviour");
     step.behaviour = QJsonDocument{behaviour.value_or(QJsonObject{}).toObject()}.toJson(QJsonDocument::Compact);
@@ -122,7 +122,7 @@
     static_cast<void>(reader.text("deployment", ""));
     static_cast<void>(reader.text("manifest", ""));
     static_cast<void>(reader.integer("servers", countRange, 2));
-    static_cast<void>(reader.integer("slots", Range<std::int64_t>{.least = 0, .most = countRange.most}, 0));
+    static_cast<void>(reader.integer("slots", Range<std::int64_t>{.min = 0, .max = countRange.max}, 0));
 }
 
 } // namespace internal
--- a/standin/platform_server.cpp
+++ b/standin/platform_server.cpp
@@ -25,11 +25,11 @@
 using StatusCode = QHttpServerResponder::StatusCode;
 
 constexpr double burstSeconds = 0.25;
-constexpr settings::Range<std::int64_t> latencyRange{.least = 0, .most = 60'000};
-constexpr settings::Range<double> shareRange{.least = 0.0, .most = 1.0};
-constexpr settings::Range<double> rateRange{.least = 0.0, .most = 1e6};
+constexpr settings::Range<std::int64_t> latencyRange{.min = 0, .max = 60'000};
+constexpr settings::Range<double> shareRange{.min = 0.0, .max = 1.0};
+constexpr settings::Range<double> rateRange{.min = 0.0, .max = 1e6};
 
-[[nodiscard]] static store::RateCap makeCap(const double rate)
+[[nodiscard]] static store::RateLimiter makeCap(const double rate)
 {
     return {rate, rate * burstSeconds};
 }
--- a/standin/platform_server.hpp
+++ b/standin/platform_server.hpp
@@ -13,7 +13,7 @@
 
 #include <egretlatch/core/random_source.hpp>
 #include <egretlatch/core/secret.hpp>
-#include <egretlatch/store/rate_cap.hpp>
+#include <egretlatch/store/rate_limiter.hpp>
 #include <platform_store.hpp>
 
 namespace standin
@@ -68,8 +68,8 @@
     PlatformStore m_store;
     PlatformBehaviour m_behaviour;
     egretlatch::SeededRandom m_random;
-    egretlatch::store::RateCap m_readCap;
-    egretlatch::store::RateCap m_writeCap;
+    egretlatch::store::RateLimiter m_readCap;
+    egretlatch::store::RateLimiter m_writeCap;
     std::uint64_t m_reads{};
     std::uint64_t m_writes{};
     std::uint64_t m_rateLimited{};
--- a/test/egretlatch/admission/crash_suspects.cpp
+++ b/test/egretlatch/admission/crash_suspects.cpp
@@ -30,7 +30,7 @@
     suspects.noteCrash("crash/c", {culprit}, start);
 
     CHECK(suspects.isQuarantined(culprit, start));
-    CHECK_FALSE(suspects.isQuarantined(culprit, start + CrashSuspects::crashLife));
+    CHECK_FALSE(suspects.isQuarantined(culprit, start + CrashSuspects::crashLifetime));
 }
 
 TEST_CASE("what ran beside the culprit is not refused once it has run well")
@@ -38,12 +38,12 @@
     CrashSuspects suspects;
     suspects.noteCrash("crash/a", {culprit, bystander}, start);
     suspects.noteCrash("crash/b", {culprit, bystander}, start);
-    CHECK(suspects.noteGood(bystander));
+    CHECK(suspects.noteSuccess(bystander));
     suspects.noteCrash("crash/c", {culprit, bystander}, start);
 
     CHECK(suspects.isQuarantined(culprit, start));
     CHECK_FALSE(suspects.isQuarantined(bystander, start));
-    CHECK_FALSE(suspects.noteGood(3));
+    CHECK_FALSE(suspects.noteSuccess(3));
 }
 
 TEST_CASE("requests that differ in method, path, body or calling service have fingerprints of their own")
--- a/test/egretlatch/admission/gate_rules.cpp
+++ b/test/egretlatch/admission/gate_rules.cpp
@@ -12,7 +12,7 @@
 {
     // A root has run for half a second at three services, and its last call is refused for lack of room: all of it is
     // wasted, and its caller sends it again. What is too much is to be refused as roots, which have cost nothing.
-    AdaptiveGate gate{{.areSlotsTrusted = true, .keepsInnerCalls = true, .shortestQueue = 0ms, .level = {}}};
+    AdaptiveGate gate{{.areSlotsTrusted = true, .keepsInnerCalls = true, .minDrainTarget = 0ms, .level = {}}};
     gate.setSlots(1);
     std::size_t refusedInner = 0;
     std::size_t refusedRoots = 0;
@@ -47,5 +47,5 @@
         return gate.load(start + 10s).limit;
     };
     CHECK(slotsInUse({}) < 8);
-    CHECK(slotsInUse({.areSlotsTrusted = true, .keepsInnerCalls = false, .shortestQueue = 0ms, .level = {}}) == 8);
+    CHECK(slotsInUse({.areSlotsTrusted = true, .keepsInnerCalls = false, .minDrainTarget = 0ms, .level = {}}) == 8);
 }
--- a/test/egretlatch/admission/learned_chains.cpp
+++ b/test/egretlatch/admission/learned_chains.cpp
@@ -22,9 +22,9 @@
     CHECK(chains.chain(history).empty());
     chains.noteChain(currency, {{"log", 15ms}, {"roster", 220ms}});
     chains.noteRun(history, {{currency, 2}}, 300ms);
-    CHECK(chains.chain(history) == ChainStops{{"history", 300ms}, {"log", 30ms}, {"roster", 440ms}});
-    CHECK(chains.servicesBelow("history") == std::set<std::string>{"log", "roster"});
-    CHECK(chains.servicesBelow("log").empty());
+    CHECK(chains.chain(history) == SlotTimeByService{{"history", 300ms}, {"log", 30ms}, {"roster", 440ms}});
+    CHECK(chains.downstreamServices("history") == std::set<std::string>{"log", "roster"});
+    CHECK(chains.downstreamServices("log").empty());
 }
 
 TEST_CASE("a call of which nothing has been told yet is known by its service")
--- a/test/egretlatch/admission/pace_meter.cpp
+++ b/test/egretlatch/admission/pace_meter.cpp
@@ -16,16 +16,16 @@
 TEST_CASE("a pace is told after some runs, follows a server that turns slow, and is not told once nothing runs")
 {
     PaceMeter meter;
-    meter.noteEnded("read", 100ms, start);
+    meter.noteCompleted("read", 100ms, start);
     CHECK_FALSE(meter.paceAt("read", start).has_value());
     for (int run = 0; run < 20; ++run) {
-        meter.noteEnded("read", 100ms, start);
+        meter.noteCompleted("read", 100ms, start);
     }
     CHECK(meter.paceAt("read", start) == KindPace{.kind = "read", .own = 100ms, .failing = 0.0});
 
     // A server that turns slow answers nothing for long, and callers give up: what they gave up counts as well.
     for (int run = 0; run < 20; ++run) {
-        meter.noteCutShort("read", 900ms, start + 1s);
+        meter.noteAbandoned("read", 900ms, start + 1s);
     }
     CHECK(meter.paceAt("read", start + 1s)->own > 500ms);
 
@@ -36,13 +36,13 @@
 {
     PaceMeter meter;
     for (int run = 0; run < 100; ++run) {
-        run % 2 == 0 ? meter.noteEnded("read", 100ms, start) : meter.noteFailed("read", start);
+        run % 2 == 0 ? meter.noteCompleted("read", 100ms, start) : meter.noteFailed("read", start);
     }
     CHECK(meter.paceAt("read", start)->failing == doctest::Approx(0.5).epsilon(0.1));
     CHECK(meter.paceAt("read", start)->own == 100ms);
 
     for (int run = 0; run < 100; ++run) {
-        meter.noteEnded("read", 100ms, start);
+        meter.noteCompleted("read", 100ms, start);
     }
     CHECK(meter.paceAt("read", start)->failing < 0.01);
 }
@@ -51,10 +51,10 @@
 {
     PaceMeter meter;
     for (int run = 0; run < 20; ++run) {
-        meter.noteEnded("read", 100ms, start);
+        meter.noteCompleted("read", 100ms, start);
     }
-    meter.noteCutShort("read", 10ms, start);
-    meter.noteCutShort("unseen", 10ms, start);
+    meter.noteAbandoned("read", 10ms, start);
+    meter.noteAbandoned("unseen", 10ms, start);
 
     CHECK(meter.paces(start) == std::vector<KindPace>{{.kind = "read", .own = 100ms, .failing = 0.0}});
 }
--- a/test/egretlatch/admission/root_costs.cpp
+++ b/test/egretlatch/admission/root_costs.cpp
@@ -64,7 +64,8 @@
     const Rank rank{.priority = 7, .worth = 1.0, .invested = {}};
     const RankClass unknown = entry.control.classAt("bookings", lookup.second, rank, {});
     CHECK(unknown < entry.classOfCall(valuation, lookup.second));
-    CHECK(unknown > entry.control.classAt("bookings", lookup.second, {.priority = 6, .worth = 1.0, .invested = {}}, RootCosts{ChainStops{{"bookings", 1ms}}}));
+    CHECK(unknown
+          > entry.control.classAt("bookings", lookup.second, {.priority = 6, .worth = 1.0, .invested = {}}, RootCosts{SlotTimeByService{{"bookings", 1ms}}}));
 }
 
 TEST_CASE("a mean of what servers tell does not begin with one that does not know yet")
@@ -89,7 +90,7 @@
     // A member on the phone waits for a third of a second and is told that there is no room, while the service runs calls of
     // roots that earn less for its time. It has four slots; lookups ask for six of them, bookings for one.
     const ObservedEntry entry;
-    AdaptiveGate gate{{.areSlotsTrusted = true, .keepsInnerCalls = true, .shortestQueue = 80ms, .level = {}}};
+    AdaptiveGate gate{{.areSlotsTrusted = true, .keepsInnerCalls = true, .minDrainTarget = 80ms, .level = {}}};
     gate.setSlots(4);
     std::map<SteadyTime, std::vector<std::uint64_t>> ends;
     int bookingsStarted = 0;
--- a/test/egretlatch/admission/whole_chain_entry.cpp
+++ b/test/egretlatch/admission/whole_chain_entry.cpp
@@ -55,7 +55,7 @@
     // The deepest of three services is full. Refused only there, each root would have held slots of the other two for
     // nothing. Kinds that do not reach it go on.
     Entry entry;
-    entry.control.noteLevel({.service = "deep", .noted = {.level = aboveAll, .at = start}});
+    entry.control.noteLevel({.service = "deep", .reported = {.level = aboveAll, .at = start}});
 
     CHECK(entry.admitted("ask", start) == 0);
     CHECK(entry.admitted("greet", start) == 1000);
@@ -68,7 +68,7 @@
     const RankClass rankClass = first.control.classAt("deep", "read", first.control.rankOf("door", "ask"), {});
     const Level half{.priority = rankClass.priority, .density = rankClass.density, .fraction = 0.5};
     for (Entry *const entry : {&first, &second}) {
-        entry->control.noteLevel({.service = "deep", .noted = {.level = half, .at = start}});
+        entry->control.noteLevel({.service = "deep", .reported = {.level = half, .at = start}});
     }
 
     int passed = 0;
@@ -87,7 +87,7 @@
     // Everything is refused at the door, so no answer tells that the deep service has room again. A level that stood
     // until news came would stand for ever.
     Entry entry;
-    entry.control.noteLevel({.service = "deep", .noted = {.level = aboveAll, .at = start}});
+    entry.control.noteLevel({.service = "deep", .reported = {.level = aboveAll, .at = start}});
 
     CHECK(entry.admitted("ask", start + 100ms) == 0);
     const int probes = entry.admitted("ask", start + 400ms);
@@ -101,8 +101,8 @@
     // Daemons that call one another pass levels on in a circle. Taken by the time of their coming, a level of seconds ago
     // came back as new, and roots were let in that were shed four services further down.
     Entry entry;
-    entry.control.noteLevel({.service = "deep", .noted = {.level = aboveAll, .at = start}});
-    entry.control.noteLevel({.service = "deep", .noted = {.level = {}, .at = start - 50ms}});
+    entry.control.noteLevel({.service = "deep", .reported = {.level = aboveAll, .at = start}});
+    entry.control.noteLevel({.service = "deep", .reported = {.level = {}, .at = start - 50ms}});
 
     CHECK(entry.admitted("ask", start) == 0);
 }
@@ -120,7 +120,7 @@
 TEST_CASE("a refusal at the entry says which service, by which figures and when to come back")
 {
     Entry entry;
-    entry.control.noteLevel({.service = "deep", .noted = {.level = aboveAll, .at = start}});
+    entry.control.noteLevel({.service = "deep", .reported = {.level = aboveAll, .at = start}});
     const EntryRequest request{.service = "door", .kind = "ask", .root = rootTicket(1, 5).root, .rank = entry.control.rankOf("door", "ask")};
 
     const std::optional<EntryRefusal> refusal = entry.control.check(request, start);
--- a/test/egretlatch/cli/sessions.cpp
+++ b/test/egretlatch/cli/sessions.cpp
@@ -52,7 +52,7 @@
 };
 
 [[nodiscard]] cli::DaemonAnswer
-makeAnswer(const std::string &id, const std::uint64_t version, const std::uint64_t newest, std::vector<configuration::HeardVersion> heard)
+makeAnswer(const std::string &id, const std::uint64_t version, const std::uint64_t newest, std::vector<configuration::ReportedVersion> heard)
 {
     configuration::Report report;
     report.daemon = {id};
@@ -113,8 +113,8 @@
 TEST_CASE("a session of operators who read what is in force")
 {
     Session session;
-    const std::vector<configuration::HeardVersion> heard{{.daemon = {"roster-0"}, .version = 4, .age = std::chrono::milliseconds{700}},
-                                                         {.daemon = {"roster-1"}, .version = 3, .age = std::chrono::milliseconds{12'340}}};
+    const std::vector<configuration::ReportedVersion> heard{{.daemon = {"roster-0"}, .version = 4, .age = std::chrono::milliseconds{700}},
+                                                            {.daemon = {"roster-1"}, .version = 3, .age = std::chrono::milliseconds{12'340}}};
     session.print("status --daemon http://launch-log-0", cli::describeFleet({makeAnswer("launch-log-0", 4, 4, {heard.front()})}));
     session.print("status --daemon http://launch-log-0 --daemon http://launch-log-1 --daemon http://gone",
                   cli::describeFleet({makeAnswer("launch-log-0", 4, 4, heard), makeAnswer("launch-log-1", 3, 4, {}), {.url = "http://gone", .report = {}}}));
@@ -124,7 +124,7 @@
 TEST_CASE("a session of operators who explain refusals")
 {
     Session session;
-    account::RefusalLedger ledger{{"launch-log-0"}, {17}, {.waiting = 3}};
+    account::RefusalLedger ledger{{"launch-log-0"}, {17}, {.maxPending = 3}};
     const WallTime start = session.clock.wallNow();
     const account::RefusalRecord refusal = makeRefusal(session, account::RefusalReason::overloadAtServer, "launch-entry");
     ledger.add(refusal);
--- a/test/egretlatch/configuration/follower.cpp
+++ b/test/egretlatch/configuration/follower.cpp
@@ -31,7 +31,7 @@
         return {m_lastRequest};
     }
 
-    void send(const Peer &peer, PeerNews news) override
+    void send(const Peer &peer, PeerPayload news) override
     {
         sent.emplace_back(peer, std::move(news));
     }
@@ -53,7 +53,7 @@
     }
 
     std::deque<std::pair<store::RequestId, store::Request>> asked;
-    std::deque<std::pair<Peer, PeerNews>> sent;
+    std::deque<std::pair<Peer, PeerPayload>> sent;
     std::vector<Peer> known;
     std::vector<std::uint64_t> inForce;
     std::vector<std::string> counted;
@@ -94,7 +94,7 @@
         }
     }
 
-    void hear(const std::uint64_t version, const QByteArray &manifest)
+    void receiveAdvert(const std::uint64_t version, const QByteArray &manifest)
     {
         follower.handleAdvert({"peer"}, {.version = version, .hash = contentHash(manifest), .endpoint = "tcp://peer"}, clock.steadyNow());
     }
@@ -144,7 +144,7 @@
     daemon.run(std::chrono::seconds{2}, nullptr);
     REQUIRE(!daemon.outlet.sent.empty());
     CHECK(std::get<Advert>(daemon.outlet.sent.front().second).version == 0);
-    daemon.hear(7, makeManifest(5));
+    daemon.receiveAdvert(7, makeManifest(5));
     CHECK(daemon.bodyRequests() == 1);
     daemon.follower.handleBodyReply({"peer"}, {.hash = contentHash(makeManifest(5)), .manifest = makeManifest(5)}, daemon.clock.steadyNow());
     CHECK(daemon.outlet.inForce == std::vector<std::uint64_t>{7});
@@ -172,7 +172,7 @@
     standin::PlatformStore store;
     accept(store, 0, makeManifest(3));
     Fixture daemon;
-    daemon.hear(1, makeManifest(3));
+    daemon.receiveAdvert(1, makeManifest(3));
     daemon.follower.handleBodyReply({"peer"}, {.hash = contentHash(makeManifest(3)), .manifest = makeManifest(9)}, daemon.clock.steadyNow());
     CHECK(daemon.outlet.inForce.empty());
     CHECK(daemon.outlet.counted == std::vector<std::string>{"hash-mismatch"});
@@ -186,12 +186,12 @@
     standin::PlatformStore store;
     accept(store, 0, makeManifest(3));
     Fixture silentPeer;
-    silentPeer.hear(1, makeManifest(3));
+    silentPeer.receiveAdvert(1, makeManifest(3));
     silentPeer.run(std::chrono::seconds{1}, &store);
     CHECK(silentPeer.outlet.inForce == std::vector<std::uint64_t>{1});
 
     Fixture storeDown;
-    storeDown.hear(1, makeManifest(3));
+    storeDown.receiveAdvert(1, makeManifest(3));
     storeDown.run(std::chrono::seconds{4}, nullptr);
     CHECK(storeDown.bodyRequests() >= 2);
 }
@@ -206,7 +206,7 @@
     Fixture daemon;
     daemon.run(std::chrono::seconds{4}, &store);
     REQUIRE(daemon.outlet.inForce == std::vector<std::uint64_t>{2});
-    daemon.hear(1, makeManifest(3));
+    daemon.receiveAdvert(1, makeManifest(3));
     daemon.follower.handleBodyReply({"peer"}, {.hash = contentHash(makeManifest(3)), .manifest = makeManifest(3)}, daemon.clock.steadyNow());
     daemon.run(std::chrono::seconds{10}, &store);
     CHECK(daemon.outlet.inForce == std::vector<std::uint64_t>{2});
--- a/test/egretlatch/decision/core.cpp
+++ b/test/egretlatch/decision/core.cpp
@@ -37,7 +37,7 @@
         self.incarnation = selfLife;
         core = CoreBuilder{clock, random, metrics}.setSelf(self).setUnownedKeys(retry::UnownedKeys::entryMemory).build();
         static_cast<void>(core->handle(ManifestChanged{.version = 1, .manifest = rosterManifest()}));
-        static_cast<void>(handleFrom("left", fakes::rosterNews({"left", "right"}, peerLife)));
+        static_cast<void>(handleFrom("left", fakes::rosterGossip({"left", "right"}, peerLife)));
     }
 
     Actions handleFrom(const std::string &sender, const protocol::Message &message)
--- a/test/egretlatch/decision/crash_news.cpp
+++ b/test/egretlatch/decision/crash_report.cpp
@@ -1,7 +1,7 @@
 #include <doctest/doctest.h>
 
-#include <egretlatch/decision/crash_news.hpp>
-#include <egretlatch/decision/crash_witness.hpp>
+#include <egretlatch/decision/crash_detector.hpp>
+#include <egretlatch/decision/crash_report.hpp>
 
 using namespace egretlatch;
 using namespace egretlatch::decision;
@@ -16,7 +16,7 @@
 
 TEST_CASE("a server that loses answers and goes on taking connections has not crashed")
 {
-    CrashWitness witness;
+    CrashDetector witness;
     witness.noteLost(1, start);
     witness.noteLost(2, start);
     CHECK(witness.noteNeverConnected(start + 100ms) == std::vector<admission::RequestFingerprint>{1, 2});
@@ -35,12 +35,12 @@
 {
     admission::CrashSuspects suspects;
     for (const char *const daemon : {"a", "b"}) {
-        CrashNews::crashed({daemon}, {1}, 1, {7, 8}).apply(suspects, start);
+        CrashReport::crashed({daemon}, {1}, 1, {7, 8}).apply(suspects, start);
     }
-    CrashNews::crashed({"b"}, {1}, 2, {7, 8}).apply(suspects, start);
+    CrashReport::crashed({"b"}, {1}, 2, {7, 8}).apply(suspects, start);
     CHECK(suspects.isQuarantined(7, start));
 
-    CrashNews::ranWell({"a"}, {1}, 2, 8).apply(suspects, start);
+    CrashReport::ranWell({"a"}, {1}, 2, 8).apply(suspects, start);
 
     CHECK(suspects.isQuarantined(7, start));
     CHECK_FALSE(suspects.isQuarantined(8, start));
@@ -50,10 +50,10 @@
 {
     admission::CrashSuspects suspects;
     for (const std::uint64_t number : {1, 2, 3}) {
-        CrashNews::ranWell({"a"}, {1}, number, 8).apply(suspects, start);
+        CrashReport::ranWell({"a"}, {1}, number, 8).apply(suspects, start);
     }
     for (const std::uint64_t number : {1, 2, 3}) {
-        CrashNews::crashed({"b"}, {1}, number, {7, 8}).apply(suspects, start + 1s);
+        CrashReport::crashed({"b"}, {1}, number, {7, 8}).apply(suspects, start + 1s);
     }
 
     CHECK(suspects.isQuarantined(7, start + 1s));
@@ -63,10 +63,10 @@
 TEST_CASE("a good run long ago does not speak for a request that crashes servers now")
 {
     admission::CrashSuspects suspects;
-    CrashNews::ranWell({"a"}, {1}, 1, 7).apply(suspects, start);
+    CrashReport::ranWell({"a"}, {1}, 1, 7).apply(suspects, start);
     for (const std::uint64_t number : {1, 2, 3}) {
-        CrashNews::crashed({"b"}, {1}, number, {7}).apply(suspects, start + admission::CrashSuspects::goodLife);
+        CrashReport::crashed({"b"}, {1}, number, {7}).apply(suspects, start + admission::CrashSuspects::successLifetime);
     }
 
-    CHECK(suspects.isQuarantined(7, start + admission::CrashSuspects::goodLife));
+    CHECK(suspects.isQuarantined(7, start + admission::CrashSuspects::successLifetime));
 }
--- a/test/egretlatch/decision/entry_rules.cpp
+++ b/test/egretlatch/decision/entry_rules.cpp
@@ -41,7 +41,7 @@
                    .setEntryRules({.countsOnlyArrivals = true, .retrySlack = slack, .traces = false})
                    .build();
         static_cast<void>(core->handle(ManifestChanged{.version = 1, .manifest = rosterManifest()}));
-        static_cast<void>(handleFrom({"left"}, fakes::rosterNews({"left", "middle", "right"}, peerLife)));
+        static_cast<void>(handleFrom({"left"}, fakes::rosterGossip({"left", "middle", "right"}, peerLife)));
         // The part of the fleet's slack that is this daemon's is known from then on.
         static_cast<void>(core->handle(Tick{}));
     }
@@ -199,7 +199,7 @@
         core = CoreBuilder{clock, random, metrics}
                    .setSelf(self)
                    .setUnownedKeys(retry::UnownedKeys::notNeeded)
-                   .setDoorTimes({.afterReport = 800ms, .afterSignal = 1500ms, .lastStart = 1600ms})
+                   .setDrainTimes({.afterReport = 800ms, .afterSignal = 1500ms, .lastStart = 1600ms})
                    .build();
         static_cast<void>(core->handle(ManifestChanged{.version = 1, .manifest = rosterManifest()}));
         static_cast<void>(core->handle(ServerAnnounced{.service = "roster", .slots = 1, .connections = 10, .instance = "i"}));
--- a/test/egretlatch/decision/membership.cpp
+++ b/test/egretlatch/decision/membership.cpp
@@ -236,7 +236,7 @@
 
     DaemonFixture heardLater;
     heardLater.announce("first");
-    CHECK(DaemonFixture::find<DepartureHeard>(hear(heardLater)) != nullptr);
+    CHECK(DaemonFixture::find<DepartureReported>(hear(heardLater)) != nullptr);
     CHECK((heardLater.state() == MemberState::draining));
     CHECK(heardLater.core->load().draining);
     heardLater.announce("second");
--- a/test/egretlatch/decision/serving_handler.cpp
+++ b/test/egretlatch/decision/serving_handler.cpp
@@ -106,8 +106,8 @@
 
 TEST_CASE("a call that only the wrong life of a daemon got has not run, so that its caller may be served elsewhere")
 {
-    CHECK((verdictOnStranger(Delivery::oneLife) == Verdict::notRun));
-    CHECK((verdictOnStranger(Delivery::severalLives) == Verdict::mayHaveRun));
+    CHECK((verdictOnStranger(Delivery::oneIncarnation) == Verdict::notRun));
+    CHECK((verdictOnStranger(Delivery::severalIncarnations) == Verdict::mayHaveRun));
 }
 
 TEST_CASE("calls whose deadline passes together are each answered once")
--- a/test/egretlatch/http/connections.cpp
+++ b/test/egretlatch/http/connections.cpp
@@ -110,10 +110,10 @@
 
     TicketId send(const std::string &name)
     {
-        Outgoing outgoing;
+        OutgoingRequest outgoing;
         const Request request{.method = "GET", .target = "/", .headers = {{.name = "X-Request-Id", .value = name}}, .body = {}};
         outgoing.bytes = encode(request);
-        outgoing.isOwn = [name](const Response &response) {
+        outgoing.isMatchingResponse = [name](const Response &response) {
             const std::string *const answered = findHeader(response.headers, "X-Request-Id");
             return answered != nullptr && *answered == name;
         };
@@ -189,9 +189,9 @@
     net::Poller poller;
     ClientPool pool{poller, clock, nowhere, {}};
     std::optional<Outcome> outcome;
-    Outgoing outgoing;
+    OutgoingRequest outgoing;
     outgoing.bytes = "GET / HTTP/1.1\r\n\r\n";
-    outgoing.isOwn = [](const Response & /*response*/) {
+    outgoing.isMatchingResponse = [](const Response & /*response*/) {
         return true;
     };
     outgoing.onResult = [&outcome](Outcome given) {
--- a/test/egretlatch/membership/gossip.cpp
+++ b/test/egretlatch/membership/gossip.cpp
@@ -18,13 +18,13 @@
 
 constexpr std::uint64_t seed = 20261202;
 
-void gather(GossipNetwork &network)
+void waitForConvergence(GossipNetwork &network)
 {
     INFO("seed ", seed);
     const bool isGathered = network
                                 .runUntil(
                                     [&network] {
-                                        return network.isWhole();
+                                        return network.hasConverged();
                                     },
                                     60s)
                                 .has_value();
@@ -33,10 +33,10 @@
 }
 
 // Whether a daemon still holds a member for one that takes work; a suspect gets none either.
-[[nodiscard]] bool sendsWorkTo(const GossipNetwork &network, const std::size_t subject)
+[[nodiscard]] bool isServingForAny(const GossipNetwork &network, const std::size_t subject)
 {
     for (std::size_t observer = 0; observer < network.size(); ++observer) {
-        if (observer != subject && network.seen(observer, subject) == MemberState::serving) {
+        if (observer != subject && network.observedState(observer, subject) == MemberState::serving) {
             return true;
         }
     }
@@ -54,22 +54,22 @@
 TEST_CASE("daemons that start together, knowing three of them, find one another")
 {
     GossipNetwork network{40, seed};
-    gather(network);
-    CHECK(network.isWhole());
+    waitForConvergence(network);
+    CHECK(network.hasConverged());
 }
 
 TEST_CASE("a newcomer is known everywhere and knows everyone")
 {
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     const std::size_t newcomer = network.add();
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         15s);
     CHECK(took.has_value());
-    CHECK((network.seen(newcomer, 0) == MemberState::serving));
+    CHECK((network.observedState(newcomer, 0) == MemberState::serving));
 }
 
 TEST_CASE("a drain is known everywhere within seconds, with a third of the messages lost")
@@ -77,12 +77,12 @@
     // Callers are refused again and again by a backend server that is being replaced. It said that it drains, but the
     // network loses messages, and daemons that missed the word go on sending it work.
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     network.setLoss(0.3);
     setDraining(network, 7);
     const auto took = network.runUntil(
         [&network] {
-            return !sendsWorkTo(network, 7);
+            return !isServingForAny(network, 7);
         },
         5s);
     CHECK(took.has_value());
@@ -92,7 +92,7 @@
 {
     // Calls time out at one server of several. Its VM failed without a word, and nobody may go on sending work there.
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     network.kill(5);
     const auto suspected = network.runUntil(
         [&network] {
@@ -134,7 +134,7 @@
     // A VM comes up, is known everywhere and fails a second later. Each daemon chose the order of its probes before it
     // came, and would come to it only in its next round.
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     const std::size_t newcomer = network.add();
     network.run(3s);
     CHECK(network.allSee(newcomer, MemberState::serving));
@@ -152,7 +152,7 @@
     // Eight of forty VMs go with a switch. The rest must find all eight dead, and must not suspect one another although
     // many of their helpers for indirect probes are among the dead.
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     for (std::size_t index = 8; index < 16; ++index) {
         network.kill(index);
     }
@@ -166,7 +166,7 @@
         },
         40s);
     CHECK(found.has_value());
-    CHECK(network.isWhole());
+    CHECK(network.hasConverged());
 }
 
 TEST_CASE("a live daemon refutes a doubt that one lossy link raised")
@@ -174,16 +174,16 @@
     // A server vanishes from the routing of the whole fleet because one daemon has a bad link to it. The doubt spreads,
     // the suspect hears of it, raises its revision, and is served again.
     GossipNetwork network{20, seed};
-    gather(network);
+    waitForConvergence(network);
     const auto *const member = network.node(0).roster.find({"d009"});
     egretlatch::membership::GossipMessage doubt;
     doubt.members = {network.node(0).roster.self()};
     doubt.suspicions = {{.id = member->id, .incarnation = member->incarnation, .revision = member->revision}};
     network.node(1).gossip.handle({"d000"}, {1}, doubt, network.now());
-    CHECK((network.seen(1, 9) == MemberState::suspect));
+    CHECK((network.observedState(1, 9) == MemberState::suspect));
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         15s);
     CHECK(took.has_value());
@@ -194,13 +194,13 @@
 {
     // With a third of all messages lost many probes fail. Daemons are suspected and refute; none may be left for gone.
     GossipNetwork network{30, seed};
-    gather(network);
+    waitForConvergence(network);
     network.setLoss(0.3);
     network.run(60s);
     network.setLoss(0);
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         20s);
     CHECK(took.has_value());
@@ -211,14 +211,14 @@
     // A VM is paused for half a minute and then reads what was sent meanwhile. The fleet holds it for gone and sends it
     // no work, while it believes that all is well; it must also not suspect others for the answers that it slept through.
     GossipNetwork network{20, seed};
-    gather(network);
+    waitForConvergence(network);
     network.setRunning(4, false);
     network.run(30s);
     CHECK(network.allSee(4, MemberState::gone));
     network.setRunning(4, true);
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         10s);
     CHECK(took.has_value());
@@ -231,39 +231,40 @@
     // A VM is replaced while the fleet still believes in the old one. The new life starts at revision zero and must
     // overrule what is known; the old one, if it was only paused, must not overrule the new one when it wakes.
     GossipNetwork network{20, seed};
-    gather(network);
+    waitForConvergence(network);
     setDraining(network, 6);
     network.run(5s);
-    const egretlatch::membership::Member oldLife = network.node(6).roster.self();
+    const egretlatch::membership::Member oldIncarnation = network.node(6).roster.self();
     network.kill(6);
     network.replace(6);
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         15s);
     CHECK(took.has_value());
     egretlatch::membership::GossipMessage late;
-    late.members = {oldLife};
-    network.node(3).gossip.handle(oldLife.id, oldLife.incarnation, late, network.now());
-    CHECK((network.seen(3, 6) == MemberState::serving));
+    late.members = {oldIncarnation};
+    network.node(3).gossip.handle(oldIncarnation.id, oldIncarnation.incarnation, late, network.now());
+    CHECK((network.observedState(3, 6) == MemberState::serving));
 }
 
 TEST_CASE("a daemon that starts again with its clock set back is believed though its number is below that of its earlier life")
 {
     for (const Duration away : {Duration{200ms}, Duration{30s}}) {
         GossipNetwork network{20, seed};
-        gather(network);
+        waitForConvergence(network);
         network.kill(6);
         network.run(away);
         network.startWithClockSetBack(6);
         const auto took = network.runUntil(
             [&network] {
-                return network.isWhole() && network.node(3).roster.find(network.node(6).first.id)->incarnation == network.node(6).roster.self().incarnation;
+                return network.hasConverged()
+                    && network.node(3).roster.find(network.node(6).initialSelf.id)->incarnation == network.node(6).roster.self().incarnation;
             },
             15s);
         CHECK(took.has_value());
-        CHECK(network.node(6).roster.self().incarnation > network.node(6).first.incarnation);
+        CHECK(network.node(6).roster.self().incarnation > network.node(6).initialSelf.incarnation);
     }
 }
 
@@ -272,25 +273,25 @@
     // Two regions lose each other for three minutes. Each must stay whole for itself. After the cut both hold each other
     // for gone at the revisions still in force; they must meet again on their own, within the bytes a daemon may send.
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     const auto isEast = [](const std::size_t index) {
         return index % 2 == 0;
     };
-    network.setCut([isEast](const std::size_t from, const std::size_t to) {
+    network.setPartition([isEast](const std::size_t from, const std::size_t to) {
         return isEast(from) != isEast(to);
     });
     network.run(60s);
     for (std::size_t index = 0; index < network.size(); ++index) {
-        CHECK((network.seen(index, (index + 2) % network.size()) == MemberState::serving));
-        CHECK((network.seen(index, (index + 1) % network.size()) == MemberState::gone));
+        CHECK((network.observedState(index, (index + 2) % network.size()) == MemberState::serving));
+        CHECK((network.observedState(index, (index + 1) % network.size()) == MemberState::gone));
     }
     network.run(120s);
-    network.setCut(nullptr);
+    network.setPartition(nullptr);
     network.resetCounts();
     const egretlatch::SteadyTime healed = network.now();
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         60s);
     REQUIRE(took.has_value());
@@ -302,7 +303,7 @@
 TEST_CASE("a rumour reaches everyone once, and an older version replaces nothing")
 {
     GossipNetwork network{30, seed};
-    gather(network);
+    waitForConvergence(network);
     const Rumour head{.key = {.kind = RumourKind::configuration, .key = "head"}, .version = 8, .payload = "hash", .remaining = {}};
     network.node(2).gossip.spread(head, network.now());
     network.run(10s);
@@ -322,7 +323,7 @@
     // A request that crashed servers stays refused although its quarantine has passed: a daemon that hears of it late
     // would start its time anew and pass it on, and so it would go round for ever.
     GossipNetwork network{20, seed};
-    gather(network);
+    waitForConvergence(network);
     const Rumour quarantine{.key = {.kind = RumourKind::quarantine, .key = "fingerprint"}, .version = 1, .payload = {}, .remaining = 8s};
     network.node(2).gossip.spread(quarantine, network.now());
     network.run(7s);
@@ -338,13 +339,13 @@
 TEST_CASE("a daemon that starts again hears within a second that its server left, whatever else is told")
 {
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     constexpr std::size_t leaving = 5;
     for (int number = 0; number < 100; ++number) {
         const Rumour other{.key = {.kind = RumourKind::departure, .key = fmt::format("c{}", number)}, .version = 1, .payload = {}, .remaining = 120s};
         network.node(7).gossip.spread(other, network.now());
     }
-    const std::string key = egretlatch::membership::keyOf(network.node(leaving).first.id, "first");
+    const std::string key = egretlatch::membership::daemonRumourKey(network.node(leaving).initialSelf.id, "first");
     const Rumour departure{.key = {.kind = RumourKind::departure, .key = key}, .version = 1, .payload = {}, .remaining = 120s};
     network.node(leaving).gossip.spread(departure, network.now());
     network.run(10s);
@@ -361,7 +362,7 @@
     constexpr std::size_t large = 80;
     const auto bytesAtRest = [](const std::size_t count) {
         GossipNetwork network{count, seed};
-        gather(network);
+        waitForConvergence(network);
         network.resetCounts();
         network.run(60s);
         return static_cast<double>(network.bytesSent()) / static_cast<double>(count) / 60;
--- a/test/egretlatch/membership/gossip_figures.cpp
+++ b/test/egretlatch/membership/gossip_figures.cpp
@@ -30,7 +30,7 @@
             bool areAll = true;
             for (std::size_t observer = 0; observer < network.size(); ++observer) {
                 const bool isObserver = network.node(observer).isRunning && observer != subject;
-                if (isObserver && times[observer] < 0 && network.seen(observer, subject) == state) {
+                if (isObserver && times[observer] < 0 && network.observedState(observer, subject) == state) {
                     times[observer] = seconds(network.now() - begin);
                 }
                 areAll = areAll && (!isObserver || times[observer] >= 0);
@@ -58,7 +58,7 @@
     REQUIRE(network
                 .runUntil(
                     [&network] {
-                        return network.isWhole();
+                        return network.hasConverged();
                     },
                     120s)
                 .has_value());
@@ -80,7 +80,7 @@
     return figures;
 }
 
-[[nodiscard]] double middle(const std::vector<double> &sorted)
+[[nodiscard]] double median(const std::vector<double> &sorted)
 {
     return sorted[sorted.size() / 2];
 }
@@ -100,15 +100,15 @@
                 ": bytes/s at rest ",
                 figures.bytesAtRest,
                 "; p50 and max in s: join ",
-                middle(figures.join),
+                median(figures.join),
                 " ",
                 figures.join.back(),
                 ", drain ",
-                middle(figures.drain),
+                median(figures.drain),
                 " ",
                 figures.drain.back(),
                 ", death ",
-                middle(figures.death),
+                median(figures.death),
                 " ",
                 figures.death.back());
         CHECK(figures.bytesAtRest < 27'000);
--- a/test/egretlatch/membership/roster.cpp
+++ b/test/egretlatch/membership/roster.cpp
@@ -7,8 +7,8 @@
 using egretlatch::membership::Member;
 using egretlatch::membership::MemberState;
 using egretlatch::membership::MergeOutcome;
-using egretlatch::membership::NewsSource;
 using egretlatch::membership::Roster;
+using egretlatch::membership::UpdateSource;
 
 namespace
 {
@@ -28,21 +28,21 @@
 TEST_CASE("a higher incarnation overrules any revision of a lower one")
 {
     Roster roster{makeMember("self", 1, 0)};
-    CHECK(roster.merge(makeMember("other", 5, 9), NewsSource::rumour, SteadyTime{}) == MergeOutcome::changed);
-    CHECK(roster.merge(makeMember("other", 4, 99), NewsSource::rumour, SteadyTime{}) == MergeOutcome::known);
-    CHECK(roster.merge(makeMember("other", 6, 0), NewsSource::rumour, SteadyTime{}) == MergeOutcome::changed);
+    CHECK(roster.merge(makeMember("other", 5, 9), UpdateSource::rumour, SteadyTime{}) == MergeOutcome::changed);
+    CHECK(roster.merge(makeMember("other", 4, 99), UpdateSource::rumour, SteadyTime{}) == MergeOutcome::known);
+    CHECK(roster.merge(makeMember("other", 6, 0), UpdateSource::rumour, SteadyTime{}) == MergeOutcome::changed);
     CHECK(roster.find({"other"})->incarnation.value == 6);
 }
 
 TEST_CASE("a doubt overrules its own revision and yields to the next")
 {
     Roster roster{makeMember("self", 1, 0)};
-    roster.merge(makeMember("other", 1, 3), NewsSource::rumour, SteadyTime{});
+    roster.merge(makeMember("other", 1, 3), UpdateSource::rumour, SteadyTime{});
     CHECK(roster.suspect({.id = {"other"}, .incarnation = {1}, .revision = 2}, SteadyTime{}) == MergeOutcome::known);
     CHECK(roster.suspect({.id = {"other"}, .incarnation = {1}, .revision = 3}, SteadyTime{}) == MergeOutcome::changed);
-    CHECK(roster.merge(makeMember("other", 1, 3), NewsSource::rumour, SteadyTime{}) == MergeOutcome::known);
+    CHECK(roster.merge(makeMember("other", 1, 3), UpdateSource::rumour, SteadyTime{}) == MergeOutcome::known);
     CHECK((roster.find({"other"})->state == MemberState::suspect));
-    CHECK(roster.merge(makeMember("other", 1, 4), NewsSource::rumour, SteadyTime{}) == MergeOutcome::changed);
+    CHECK(roster.merge(makeMember("other", 1, 4), UpdateSource::rumour, SteadyTime{}) == MergeOutcome::changed);
     CHECK((roster.find({"other"})->state == MemberState::serving));
 }
 
@@ -52,9 +52,9 @@
     CHECK(roster.suspect({.id = {"self"}, .incarnation = {7}, .revision = 2}, SteadyTime{}) == MergeOutcome::refuted);
     CHECK(roster.self().revision == 3);
     CHECK(roster.suspect({.id = {"self"}, .incarnation = {6}, .revision = 9}, SteadyTime{}) == MergeOutcome::known);
-    CHECK(roster.merge(makeMember("self", 7, 5), NewsSource::rumour, SteadyTime{}) == MergeOutcome::refuted);
+    CHECK(roster.merge(makeMember("self", 7, 5), UpdateSource::rumour, SteadyTime{}) == MergeOutcome::refuted);
     CHECK(roster.self().revision == 6);
-    CHECK(roster.merge(makeMember("self", 8, 9), NewsSource::rumour, SteadyTime{}) == MergeOutcome::known);
+    CHECK(roster.merge(makeMember("self", 8, 9), UpdateSource::rumour, SteadyTime{}) == MergeOutcome::known);
     CHECK(roster.self().revision == 6);
 }
 
@@ -65,21 +65,21 @@
     Roster roster{makeMember("self", 1, 0)};
     Member other = makeMember("other", 1, 0);
     other.beat = 4;
-    roster.merge(other, NewsSource::pull, SteadyTime{});
+    roster.merge(other, UpdateSource::pull, SteadyTime{});
     roster.suspect({.id = {"other"}, .incarnation = {1}, .revision = 0}, SteadyTime{});
     CHECK(roster.tick(SteadyTime{} + 60s));
     CHECK((roster.find({"other"})->state == MemberState::gone));
     CHECK(roster.findAnnounced({"other"}) == nullptr);
-    CHECK(roster.merge(other, NewsSource::pull, SteadyTime{} + 61s) == MergeOutcome::known);
+    CHECK(roster.merge(other, UpdateSource::pull, SteadyTime{} + 61s) == MergeOutcome::known);
     other.beat = 5;
-    CHECK(roster.merge(other, NewsSource::pull, SteadyTime{} + 62s) == MergeOutcome::changed);
+    CHECK(roster.merge(other, UpdateSource::pull, SteadyTime{} + 62s) == MergeOutcome::changed);
     CHECK((roster.find({"other"})->state == MemberState::serving));
 }
 
 TEST_CASE("members are forgotten only after hours")
 {
     Roster roster{makeMember("self", 1, 0)};
-    roster.merge(makeMember("other", 1, 0), NewsSource::rumour, SteadyTime{});
+    roster.merge(makeMember("other", 1, 0), UpdateSource::rumour, SteadyTime{});
     roster.suspect({.id = {"other"}, .incarnation = {1}, .revision = 0}, SteadyTime{});
     roster.tick(SteadyTime{} + 1min);
     roster.tick(SteadyTime{} + 5h);
--- a/test/egretlatch/peer/peer_exchange.cpp
+++ b/test/egretlatch/peer/peer_exchange.cpp
@@ -42,7 +42,7 @@
     {
         REQUIRE(exchange.start(endpoint).has_value());
         // The first call looks at all sockets, the next ones do so a second later.
-        exchange.work();
+        exchange.processSockets();
     }
 
     void request(const std::string &to, const std::string &at)
@@ -86,10 +86,10 @@
         return false;
     }
     if (watched[0].revents != 0) {
-        one.exchange.work();
+        one.exchange.processSockets();
     }
     if (watched[1].revents != 0) {
-        two.exchange.work();
+        two.exchange.processSockets();
     }
     return true;
 }
--- a/test/egretlatch/peer/stream_exchange.cpp
+++ b/test/egretlatch/peer/stream_exchange.cpp
@@ -180,7 +180,7 @@
         return entry.answered.size() == 1;
     }));
 
-    entry.exchange.beginLife({2});
+    entry.exchange.beginIncarnation({2});
     CHECK(entry.lost == std::vector<bool>{true});
     entry.request(serving, 2);
 
--- a/test/egretlatch/retry/budgets.cpp
+++ b/test/egretlatch/retry/budgets.cpp
@@ -14,7 +14,7 @@
     constexpr int roots = 1000;
     int retries = 0;
     for (int root = 0; root < roots; ++root) {
-        budget.noteFirst("archive", 0.1);
+        budget.noteFirstAttempt("archive", 0.1);
         retries += budget.take("archive") ? 1 : 0;
     }
 
@@ -37,14 +37,14 @@
 
 TEST_CASE("not-run is told only where each attempt with the key is known not to have run")
 {
-    CHECK((combine(Verdict::notRun, verdictOf(AttemptEnd::leftQueue)) == Verdict::notRun));
-    CHECK((combine(Verdict::mayHaveRun, verdictOf(AttemptEnd::leftQueue)) == Verdict::mayHaveRun));
-    CHECK((combine(Verdict::notRun, verdictOf(AttemptEnd::meantForEarlierLife)) == Verdict::mayHaveRun));
-    CHECK((verdictOnKey(KeyKnowledge::none, Verdict::notRun) == Verdict::mayHaveRun));
-    CHECK((verdictOnKey(KeyKnowledge::owner, Verdict::notRun) == Verdict::notRun));
-    CHECK((verdictUnread("") == Verdict::notRun));
-    CHECK((verdictUnread("no daemon takes it") == Verdict::notRun));
-    CHECK((verdictUnread("any") == Verdict::mayHaveRun));
+    CHECK((combine(Verdict::notRun, verdictOf(AttemptEnd::removedFromQueue)) == Verdict::notRun));
+    CHECK((combine(Verdict::mayHaveRun, verdictOf(AttemptEnd::removedFromQueue)) == Verdict::mayHaveRun));
+    CHECK((combine(Verdict::notRun, verdictOf(AttemptEnd::meantForEarlierIncarnation)) == Verdict::mayHaveRun));
+    CHECK((verdictForKey(KeyKnowledge::none, Verdict::notRun) == Verdict::mayHaveRun));
+    CHECK((verdictForKey(KeyKnowledge::owner, Verdict::notRun) == Verdict::notRun));
+    CHECK((verdictBeforeLookup("") == Verdict::notRun));
+    CHECK((verdictBeforeLookup("no daemon takes it") == Verdict::notRun));
+    CHECK((verdictBeforeLookup("any") == Verdict::mayHaveRun));
 }
 
 TEST_CASE("repeats that are made in any case stop retries until they are paid")
@@ -52,13 +52,13 @@
     // Two services of a chain lose answers at once. Each repeats within its bound, and the service below both gets the repeats
     // of either, twice what it may get.
     retry::RatioBudget budget;
-    budget.setMostSaved(2.0);
+    budget.setMaxSaved(2.0);
     CHECK(budget.take("roster"));
     budget.charge("roster");
     budget.charge("roster");
     CHECK(!budget.take("roster"));
     for (int first = 0; first < 10; ++first) {
-        budget.noteFirst("roster", 0.2);
+        budget.noteFirstAttempt("roster", 0.2);
     }
     CHECK(budget.take("roster"));
     CHECK(!budget.take("roster"));
--- a/test/egretlatch/retry/key_ledger.cpp
+++ b/test/egretlatch/retry/key_ledger.cpp
@@ -12,9 +12,9 @@
 
 constexpr std::uint64_t request = 42;
 
-[[nodiscard]] static KeyStanding standing(const KeyLedger &ledger, const std::string &key, const std::chrono::milliseconds age)
+[[nodiscard]] static KeyState state(const KeyLedger &ledger, const std::string &key, const std::chrono::milliseconds age)
 {
-    return ledger.find(key, age, request).standing;
+    return ledger.find(key, age, request).state;
 }
 
 } // namespace internal
@@ -24,19 +24,19 @@
 TEST_CASE("a key stands as its run ended")
 {
     KeyLedger ledger;
-    CHECK(internal::standing(ledger, "a", 1ms) == KeyStanding::fresh);
+    CHECK(internal::state(ledger, "a", 1ms) == KeyState::fresh);
     ledger.begin("a", 1ms, request);
-    CHECK(internal::standing(ledger, "a", 1ms) == KeyStanding::running);
+    CHECK(internal::state(ledger, "a", 1ms) == KeyState::running);
     ledger.end("a", Verdict::completed, {.status = 200, .headers = {}, .body = "whole"}, 0);
-    REQUIRE(internal::standing(ledger, "a", 1ms) == KeyStanding::answered);
+    REQUIRE(internal::state(ledger, "a", 1ms) == KeyState::answered);
     CHECK(ledger.find("a", 1ms, request).answer->body == "whole");
     ledger.begin("b", 1ms, request);
     ledger.end("b", Verdict::mayHaveRun, {}, 2);
-    CHECK(internal::standing(ledger, "b", 1ms) == KeyStanding::uncertain);
+    CHECK(internal::state(ledger, "b", 1ms) == KeyState::uncertain);
     ledger.begin("c", 1ms, request);
     ledger.end("c", Verdict::notRun, {}, 2);
-    CHECK(internal::standing(ledger, "c", 1ms) == KeyStanding::closed);
-    CHECK(ledger.find("a", 1ms, request + 1).standing == KeyStanding::mismatched);
+    CHECK(internal::state(ledger, "c", 1ms) == KeyState::closed);
+    CHECK(ledger.find("a", 1ms, request + 1).state == KeyState::mismatched);
 }
 
 TEST_CASE("what is forgotten is never taken for fresh")
@@ -50,11 +50,11 @@
     }
 
     CHECK(ledger.size() == 2);
-    CHECK(internal::standing(ledger, "a", 1ms) == KeyStanding::forgotten);
-    CHECK(internal::standing(ledger, "b", 2ms) == KeyStanding::forgotten);
-    CHECK(internal::standing(ledger, "never seen", 2ms) == KeyStanding::forgotten);
-    CHECK(internal::standing(ledger, "c", 3ms) == KeyStanding::answered);
-    CHECK(internal::standing(ledger, "never seen", 3ms) == KeyStanding::fresh);
+    CHECK(internal::state(ledger, "a", 1ms) == KeyState::forgotten);
+    CHECK(internal::state(ledger, "b", 2ms) == KeyState::forgotten);
+    CHECK(internal::state(ledger, "never seen", 2ms) == KeyState::forgotten);
+    CHECK(internal::state(ledger, "c", 3ms) == KeyState::answered);
+    CHECK(internal::state(ledger, "never seen", 3ms) == KeyState::fresh);
 }
 
 TEST_CASE("a key that runs is not forgotten, however old")
@@ -67,7 +67,7 @@
         ledger.end(key, Verdict::mayHaveRun, {}, 0);
     }
 
-    CHECK(internal::standing(ledger, "old", 1ms) == KeyStanding::running);
+    CHECK(internal::state(ledger, "old", 1ms) == KeyState::running);
 }
 
 TEST_CASE("answers beyond the bound are dropped, the oldest first, and are not run again")
@@ -78,7 +78,7 @@
         ledger.end(key, Verdict::completed, {.status = 200, .headers = {}, .body = "12345"}, 0);
     }
 
-    CHECK(internal::standing(ledger, "a", 1ms) == KeyStanding::answerDropped);
-    CHECK(internal::standing(ledger, "b", 1ms) == KeyStanding::answered);
-    CHECK(internal::standing(ledger, "c", 1ms) == KeyStanding::answered);
+    CHECK(internal::state(ledger, "a", 1ms) == KeyState::answerDropped);
+    CHECK(internal::state(ledger, "b", 1ms) == KeyState::answered);
+    CHECK(internal::state(ledger, "c", 1ms) == KeyState::answered);
 }
--- a/test/egretlatch/retry/shard_grants.cpp
+++ b/test/egretlatch/retry/shard_grants.cpp
@@ -50,7 +50,7 @@
         };
         for (const store::Request &request : grants.tick(clock.wallNow(), clock.steadyNow(), isPreferred)) {
             const store::RequestId id{++asked};
-            grants.noteAsked(id, request);
+            grants.noteRequestSent(id, request);
             const store::Outcome down = tl::unexpected{Error{ErrorCode::unavailable, "down"}};
             static_cast<void>(grants.take(id, isDown ? down : table.ask(request), clock.steadyNow()));
         }
--- a/test/egretlatch/settings/sidecar_settings.cpp
+++ b/test/egretlatch/settings/sidecar_settings.cpp
@@ -44,9 +44,10 @@
 
 TEST_CASE("an experiment names what it does without, and a name that is none is told")
 {
-    CHECK(settings::parseSidecarSettings(good)->switchedOff.empty());
+    CHECK(settings::parseSidecarSettings(good)->disabledMechanisms.empty());
     const QByteArray without = QByteArray{good}.replace(R"("new":1)", R"("switchedOff":["whole-costs","retries"])");
-    CHECK(settings::parseSidecarSettings(without)->switchedOff == settings::SwitchedOff{settings::Mechanism::wholeCosts, settings::Mechanism::retries});
+    CHECK(settings::parseSidecarSettings(without)->disabledMechanisms
+          == settings::DisabledMechanisms{settings::Mechanism::wholeCosts, settings::Mechanism::retries});
     CHECK(hasProblemAt(QByteArray{good}.replace(R"("new":1)", R"("switchedOff":["everything"])"), "/switchedOff"));
 }
 
--- a/test/egretlatch/store/identified_write.cpp
+++ b/test/egretlatch/store/identified_write.cpp
@@ -32,9 +32,9 @@
     IdentifiedWrite write = makeWrite("mine");
     static_cast<void>(store.apply(write.request()));
     REQUIRE(write.take(lost) == WriteStep::askLater);
-    CHECK(write.isUnsure());
-    CHECK(write.take(store.apply(write.request())) == WriteStep::effected);
-    CHECK_FALSE(write.isUnsure());
+    CHECK(write.isOutcomeUnknown());
+    CHECK(write.take(store.apply(write.request())) == WriteStep::applied);
+    CHECK_FALSE(write.isOutcomeUnknown());
 }
 
 TEST_CASE("a write that never arrived is sent again")
@@ -43,7 +43,7 @@
     IdentifiedWrite write = makeWrite("mine");
     REQUIRE(write.take(lost) == WriteStep::askLater);
     REQUIRE(write.take(store.apply(write.request())) == WriteStep::ask);
-    CHECK(write.take(store.apply(write.request())) == WriteStep::effected);
+    CHECK(write.take(store.apply(write.request())) == WriteStep::applied);
 }
 
 TEST_CASE("a write that arrives late, after it was sent again, is not taken for another's")
@@ -57,7 +57,7 @@
     REQUIRE(write.take(store.apply(write.request())) == WriteStep::ask);
     static_cast<void>(store.apply(delayed));
     REQUIRE(write.take(store.apply(write.request())) == WriteStep::ask);
-    CHECK(write.take(store.apply(write.request())) == WriteStep::effected);
+    CHECK(write.take(store.apply(write.request())) == WriteStep::applied);
 }
 
 TEST_CASE("of writers that lose answers at random exactly one takes effect, and each knows how it ended")
@@ -74,7 +74,7 @@
         std::vector<Request> delayed;
         for (int round = 0; round < 400; ++round) {
             const std::size_t index = random.below(writers);
-            if (steps[index] == WriteStep::effected || steps[index] == WriteStep::rejected) {
+            if (steps[index] == WriteStep::applied || steps[index] == WriteStep::rejected) {
                 continue;
             }
             const Request request = writes[index].request();
@@ -96,7 +96,7 @@
         const std::string winner = std::get<RowsReply>(*store.apply(TableRead{.key = "witness"})).rows.front().value;
         for (std::size_t index = 0; index < writers; ++index) {
             const bool hasWon = winner == "writer-" + std::to_string(index);
-            RC_ASSERT(steps[index] == (hasWon ? WriteStep::effected : WriteStep::rejected));
+            RC_ASSERT(steps[index] == (hasWon ? WriteStep::applied : WriteStep::rejected));
         }
     }));
 }
--- a/test/egretlatch/store/rate_cap.cpp
+++ b/test/egretlatch/store/rate_limiter.cpp
@@ -1,7 +1,7 @@
 #include <doctest/doctest.h>
 
 #include <egretlatch/store/backoff.hpp>
-#include <egretlatch/store/rate_cap.hpp>
+#include <egretlatch/store/rate_limiter.hpp>
 
 using namespace egretlatch;
 using namespace egretlatch::store;
@@ -13,7 +13,7 @@
     constexpr int daemons = 750;
     constexpr int seconds = 60;
     constexpr double fleetRate = 200.0;
-    RateCap cap{fleetRate, 1.0};
+    RateLimiter cap{fleetRate, 1.0};
     cap.setFleetSize(daemons);
     int taken = 0;
     for (int millisecond = 0; millisecond < seconds * 1000; ++millisecond) {
--- a/test/fakes/gossip_network.cpp
+++ b/test/fakes/gossip_network.cpp
@@ -43,9 +43,9 @@
 } // namespace internal
 
 GossipNode::GossipNode(egretlatch::membership::Member self, const std::uint64_t seed, std::vector<egretlatch::membership::Contact> contacts)
-    : first{std::move(self)}
+    : initialSelf{std::move(self)}
     , random{seed}
-    , roster{first}
+    , roster{initialSelf}
     , gossip{roster, random, metrics, std::move(contacts)}
 {
 }
@@ -62,36 +62,36 @@
 std::size_t GossipNetwork::add()
 {
     m_nodes.push_back(makeNode(m_nodes.size(), 1));
-    m_unread.emplace_back();
+    m_undelivered.emplace_back();
     return m_nodes.size() - 1;
 }
 
 void GossipNetwork::replace(const std::size_t index)
 {
-    start(index, m_nodes[index]->first.incarnation.value + 1);
+    start(index, m_nodes[index]->initialSelf.incarnation.value + 1);
 }
 
 void GossipNetwork::startWithClockSetBack(const std::size_t index)
 {
-    start(index, m_nodes[index]->first.incarnation.value - 1);
-    m_nodes[index]->roster.allowRaise();
+    start(index, m_nodes[index]->initialSelf.incarnation.value - 1);
+    m_nodes[index]->roster.allowIncarnationRaise();
 }
 
 void GossipNetwork::start(const std::size_t index, const std::uint64_t incarnation)
 {
     m_nodes[index] = makeNode(index, incarnation);
-    m_unread[index].clear();
+    m_undelivered[index].clear();
     m_dead.erase(index);
 }
 
 void GossipNetwork::setRunning(const std::size_t index, const bool isRunning)
 {
     m_nodes[index]->isRunning = isRunning;
-    for (Delivery &delivery : m_unread[index]) {
+    for (Delivery &delivery : m_undelivered[index]) {
         delivery.at = m_clock.steadyNow();
         m_deliveries.push(std::move(delivery));
     }
-    m_unread[index].clear();
+    m_undelivered[index].clear();
 }
 
 void GossipNetwork::kill(const std::size_t index)
@@ -108,11 +108,11 @@
     }
 }
 
-std::optional<egretlatch::Duration> GossipNetwork::runUntil(const std::function<bool()> &holds, const egretlatch::Duration limit)
+std::optional<egretlatch::Duration> GossipNetwork::runUntil(const std::function<bool()> &condition, const egretlatch::Duration limit)
 {
     const egretlatch::SteadyTime begin = m_clock.steadyNow();
     while (m_clock.steadyNow() - begin <= limit) {
-        if (holds()) {
+        if (condition()) {
             return m_clock.steadyNow() - begin;
         }
         step();
@@ -120,7 +120,7 @@
     return std::nullopt;
 }
 
-egretlatch::membership::MemberState GossipNetwork::seen(const std::size_t observer, const std::size_t subject) const
+egretlatch::membership::MemberState GossipNetwork::observedState(const std::size_t observer, const std::size_t subject) const
 {
     const egretlatch::membership::Member *const member = m_nodes[observer]->roster.find(internal::idOf(subject));
     return member == nullptr ? egretlatch::membership::MemberState::gone : member->state;
@@ -129,14 +129,14 @@
 bool GossipNetwork::allSee(const std::size_t subject, const egretlatch::membership::MemberState state) const
 {
     for (std::size_t observer = 0; observer < m_nodes.size(); ++observer) {
-        if (m_nodes[observer]->isRunning && observer != subject && seen(observer, subject) != state) {
+        if (m_nodes[observer]->isRunning && observer != subject && observedState(observer, subject) != state) {
             return false;
         }
     }
     return true;
 }
 
-bool GossipNetwork::isWhole() const
+bool GossipNetwork::hasConverged() const
 {
     for (std::size_t subject = 0; subject < m_nodes.size(); ++subject) {
         if (m_nodes[subject]->isRunning && !allSee(subject, egretlatch::membership::MemberState::serving)) {
@@ -185,11 +185,12 @@
     egretlatch::membership::GossipEffects effects = node.gossip.takeEffects();
     node.rumours.insert(node.rumours.end(), effects.rumours.begin(), effects.rumours.end());
     for (egretlatch::membership::OutgoingGossip &outgoing : effects.messages) {
-        const egretlatch::protocol::Envelope envelope{.sender = node.first.id, .incarnation = node.roster.self().incarnation, .message = outgoing.message};
+        const egretlatch::protocol::Envelope envelope{
+            .sender = node.initialSelf.id, .incarnation = node.roster.self().incarnation, .message = outgoing.message};
         node.bytesSent += egretlatch::protocol::encode(envelope).size();
         ++node.messagesSent;
         const std::size_t to = internal::indexOf(outgoing.to.id);
-        const bool isLost = m_random.fraction() < m_loss || (m_cut && m_cut(index, to));
+        const bool isLost = m_random.fraction() < m_loss || (m_partition && m_partition(index, to));
         if (isLost || to >= m_nodes.size() || m_dead.contains(to)) {
             continue;
         }
@@ -212,7 +213,7 @@
             continue;
         }
         if (!m_nodes[delivery.to]->isRunning) {
-            m_unread[delivery.to].push_back(std::move(delivery));
+            m_undelivered[delivery.to].push_back(std::move(delivery));
             continue;
         }
         m_nodes[delivery.to]->gossip.handle(internal::idOf(delivery.from), delivery.incarnation, delivery.message, m_clock.steadyNow());
--- a/test/fakes/gossip_network.hpp
+++ b/test/fakes/gossip_network.hpp
@@ -23,7 +23,7 @@
 {
     GossipNode(egretlatch::membership::Member self, std::uint64_t seed, std::vector<egretlatch::membership::Contact> contacts);
 
-    egretlatch::membership::Member first;
+    egretlatch::membership::Member initialSelf;
     egretlatch::SeededRandom random;
     egretlatch::membership::Roster roster;
     CountingMetrics metrics;
@@ -38,7 +38,7 @@
 class GossipNetwork
 {
 public:
-    using Cut = std::function<bool(std::size_t from, std::size_t to)>;
+    using Partition = std::function<bool(std::size_t from, std::size_t to)>;
 
     /**
      * @brief Starts nodes `d000`, `d001`, ..., all with the first three as contacts.
@@ -87,9 +87,9 @@
      * @brief Cuts links.
      * @param cut Says which; null for none.
      */
-    void setCut(Cut cut)
+    void setPartition(Partition cut)
     {
-        m_cut = std::move(cut);
+        m_partition = std::move(cut);
     }
 
     /**
@@ -104,7 +104,7 @@
      * @param limit Longest time.
      * @return The time that it took, or nothing if it never held.
      */
-    [[nodiscard]] std::optional<egretlatch::Duration> runUntil(const std::function<bool()> &holds, egretlatch::Duration limit);
+    [[nodiscard]] std::optional<egretlatch::Duration> runUntil(const std::function<bool()> &condition, egretlatch::Duration limit);
 
     /**
      * @brief Looks at a member through another's eyes.
@@ -112,7 +112,7 @@
      * @param subject Number of the node looked at.
      * @return The state that the observer sees; gone if it knows no such member.
      */
-    [[nodiscard]] egretlatch::membership::MemberState seen(std::size_t observer, std::size_t subject) const;
+    [[nodiscard]] egretlatch::membership::MemberState observedState(std::size_t observer, std::size_t subject) const;
 
     /**
      * @brief Says whether all running nodes see a node in a state.
@@ -126,7 +126,7 @@
      * @brief Says whether all running nodes see all running nodes serving.
      * @return True if they do.
      */
-    [[nodiscard]] bool isWhole() const;
+    [[nodiscard]] bool hasConverged() const;
 
     [[nodiscard]] GossipNode &node(const std::size_t index)
     {
@@ -179,10 +179,10 @@
     ManualClock m_clock;
     std::vector<std::unique_ptr<GossipNode>> m_nodes;
     std::priority_queue<Delivery, std::vector<Delivery>, std::greater<>> m_deliveries;
-    std::vector<std::vector<Delivery>> m_unread;
+    std::vector<std::vector<Delivery>> m_undelivered;
     std::set<std::size_t> m_dead;
     double m_loss{};
-    Cut m_cut;
+    Partition m_partition;
     std::uint64_t m_lastNumber{};
 };
 
--- a/test/fakes/roster_fleet.hpp
+++ b/test/fakes/roster_fleet.hpp
@@ -36,7 +36,7 @@
  * @param incarnation The life of each.
  * @return The message.
  */
-[[nodiscard]] inline egretlatch::protocol::Gossip rosterNews(const std::vector<std::string> &names, const egretlatch::Incarnation incarnation)
+[[nodiscard]] inline egretlatch::protocol::Gossip rosterGossip(const std::vector<std::string> &names, const egretlatch::Incarnation incarnation)
 {
     egretlatch::protocol::Gossip gossip;
     for (const std::string &name : names) {
