--- a/standin/load/fault_injector.cpp
+++ b/standin/load/fault_injector.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::chrono::seconds controlTimeout{2};
 constexpr unsigned controlHttpVersion = 11;
-constexpr int firstControlError = 300;
+constexpr int minControlErrorStatus = 300;
 
 } // namespace internal
 
@@ -43,7 +43,7 @@
 {
     const auto found = m_mesh.controls.find(step.service);
     if (found == m_mesh.controls.end()) {
-        fmt::print(stderr, "load: the deployment has no service {}\n", step.service);
+        fmt::print(stderr, "load: cannot inject a fault: the deployment has no service {}\n", step.service);
         return;
     }
     const std::vector<std::string> &urls = found->second;
@@ -62,8 +62,8 @@
     request.body() = behaviour.toStdString();
     request.prepare_payload();
     pool.exchange(std::move(request), internal::controlTimeout, [&url](const HttpReply &reply) {
-        if (reply.end != HttpEnd::answered || reply.status >= internal::firstControlError) {
-            fmt::print(stderr, "load: {} did not take its behaviour: {} {}\n", url, reply.status, reply.body);
+        if (reply.transport != TransportResult::answered || reply.status >= internal::minControlErrorStatus) {
+            fmt::print(stderr, "load: POST /control to {} failed: status {}, body {}\n", url, reply.status, reply.body);
         }
     });
     m_context.restart();
--- a/test/fakes/in_memory_table.hpp
+++ b/test/fakes/in_memory_table.hpp
@@ -11,38 +11,38 @@
 namespace fakes
 {
 
-/*! @brief The platform's table, in memory: conditional writes of several rows, all or none. */
+/*! @brief In-memory table of the platform with atomic conditional writes of several rows. */
 class InMemoryTable
 {
 public:
     /**
-     * @brief Carries a request out.
-     * @param request A read, a scan or a write of the table; objects are not kept.
-     * @return What the platform answers if nothing fails.
+     * @brief Applies a request.
+     * @param request Read, scan or write of the table; requests for objects fail with `notFound`.
+     * @return The answer of a platform without failures.
      */
     [[nodiscard]] egretlatch::store::Outcome ask(const egretlatch::store::Request &request)
     {
         using namespace egretlatch::store;
         if (const auto *const read = std::get_if<TableRead>(&request)) {
-            return rowsFrom(read->key, read->key, 1);
+            return readRange(read->key, read->key, 1);
         }
         if (const auto *const scan = std::get_if<TableScan>(&request)) {
-            return rowsFrom(std::max(scan->prefix, scan->after), scan->prefix + "\x7f", scan->limit);
+            return readRange(std::max(scan->prefix, scan->after), scan->prefix + "\x7f", scan->limit);
         }
         if (const auto *const write = std::get_if<TableWrite>(&request)) {
-            return carryOut(*write);
+            return applyWrite(*write);
         }
-        return tl::unexpected{egretlatch::Error{egretlatch::ErrorCode::notFound, "no objects are kept"}};
+        return tl::unexpected{egretlatch::Error{egretlatch::ErrorCode::notFound, "the table stores no objects"}};
     }
 
-    /*! @brief Writes that took effect. */
+    /*! @brief Returns the number of writes that were applied. */
     [[nodiscard]] int writes() const noexcept
     {
         return m_writes;
     }
 
 private:
-    [[nodiscard]] egretlatch::store::Outcome rowsFrom(const std::string &first, const std::string &last, const int limit) const
+    [[nodiscard]] egretlatch::store::Outcome readRange(const std::string &first, const std::string &last, const int limit) const
     {
         egretlatch::store::RowsReply reply;
         for (auto row = m_rows.lower_bound(first); row != m_rows.end() && row->first <= last && static_cast<int>(reply.rows.size()) < limit; ++row) {
@@ -51,7 +51,7 @@
         return reply;
     }
 
-    [[nodiscard]] egretlatch::store::Outcome carryOut(const egretlatch::store::TableWrite &write)
+    [[nodiscard]] egretlatch::store::Outcome applyWrite(const egretlatch::store::TableWrite &write)
     {
         for (const auto &condition : write.conditions) {
             const auto row = m_rows.find(condition.key);
