--- a/scripts/experiments/charts.py
+++ b/scripts/experiments/charts.py
@@ -26,7 +26,7 @@
 
     seconds: int
     overload: tuple  # (from, to) in seconds, or None
-    word: str  # what stands in the overload's band
+    label: str  # what stands in the overload's band
 
 
 def nice_ceiling(value):
@@ -45,27 +45,27 @@
 class Chart:
     """Places points by second and value."""
 
-    def __init__(self, frame, height, most, title):
-        self.frame, self.height, self.most = frame, height, most
+    def __init__(self, frame, height, maximum, title):
+        self.frame, self.height, self.maximum = frame, height, maximum
         self.parts = [f'<text x="{LEFT}" y="14" class="title">{html.escape(title)}</text>']
         if frame.overload:
             left, right = (self.x(second) for second in frame.overload)
             self.parts.append(f'<rect x="{left:.1f}" y="{TOP}" width="{right - left:.1f}" height="{self.bottom() - TOP}" class="overload"/>')
-            self.parts.append(f'<text x="{left + 5:.1f}" y="{TOP + 13}" class="overload-word">{html.escape(frame.word)}</text>')
+            self.parts.append(f'<text x="{left + 5:.1f}" y="{TOP + 13}" class="overload-word">{html.escape(frame.label)}</text>')
         self.draw_axes()
 
     def x(self, second):
         return LEFT + second / self.frame.seconds * (WIDTH - LEFT - RIGHT)
 
     def y(self, value):
-        return self.bottom() - min(value / self.most, 1.0) * (self.bottom() - TOP)
+        return self.bottom() - min(value / self.maximum, 1.0) * (self.bottom() - TOP)
 
     def bottom(self):
         return self.height - BOTTOM
 
     def draw_axes(self):
         for step in range(5):
-            value = self.most * step / 4
+            value = self.maximum * step / 4
             self.parts.append(f'<line x1="{LEFT}" x2="{WIDTH - RIGHT}" y1="{self.y(value):.1f}" y2="{self.y(value):.1f}" class="grid"/>')
             self.parts.append(f'<text x="{LEFT - 8}" y="{self.y(value) + 4:.1f}" class="axis" text-anchor="end">{value:g}</text>')
         spacing = next(step for step in (1, 2, 5, 10, 20, 60, 120, 600, 3600) if self.frame.seconds / step <= 14)
--- a/scripts/experiments/checks.py
+++ b/scripts/experiments/checks.py
@@ -34,7 +34,7 @@
     return endings
 
 
-def is_counted(key, kind_of_key, repeatable):
+def may_run_once_only(key, kind_of_key, repeatable):
     """Tell whether a key may run once only: a root's, or that of an inner call of a kind that is not idempotent."""
     if key in kind_of_key:
         return True
@@ -62,7 +62,7 @@
             if attempt["outcome"] == "completed":
                 completed.add(key)
     repeatable = repeatable_inner_keys(manifest)
-    run_twice = {key for key, count in runs.items() if count > 1 and is_counted(key, kind_of_key, repeatable)}
+    run_twice = {key for key, count in runs.items() if count > 1 and may_run_once_only(key, kind_of_key, repeatable)}
     # After a refusal a caller may go on under a new key; the request must not run under both.
     run_twice |= {name for name, keys in keys_of_request.items() if len(keys) > 1 and sum(runs[key] for key in keys) > 1}
     return Checks(
--- a/scripts/experiments/demo.py
+++ b/scripts/experiments/demo.py
@@ -14,7 +14,7 @@
 SCENARIO = ROOT / "scenarios" / "gliding-union-demo.json"
 BUILD = ROOT / "build"
 LEAD_SECONDS = 0.5
-WHY = {
+REASONS = {
     "overload-at-entry": "a service down its chain refuses requests of this rank now",
     "overload-at-server": "the backend server's daemon refuses requests of this rank now",
     "overload-in-queue": "gave way to more important ones while it waited",
@@ -71,7 +71,7 @@
             totals[cause] = totals.get(cause, 0) + count
     print("\nwhy requests were not answered, by the last answer of each:" if totals else "\nevery request was answered")
     for cause, count in sorted(totals.items(), key=lambda item: -item[1]):
-        print(f"{count:>8}  {cause:<24}{WHY.get(cause, '')}")
+        print(f"{count:>8}  {cause:<24}{REASONS.get(cause, '')}")
 
 
 def main():
--- a/scripts/experiments/deployment.py
+++ b/scripts/experiments/deployment.py
@@ -74,12 +74,12 @@
         self.watcher = threading.Thread(target=self.watch)
         self.watcher.start()
 
-    def chosen(self, fault):
+    def select_servers(self, fault):
         """Give the (service, number) of the servers that a fault is for."""
         wanted = fault.get("server", -1)
         return [name for name in self.servers if name[0] == fault.get("service") and wanted in (-1, name[1])]
 
-    def start_again(self, name, what):
+    def restart(self, name, what):
         server = self.servers[name]
         command, field = (server["command"], "pid") if what == "daemon" else (server["backendCommand"], "backendPid")
         log = open(pathlib.Path(self.logs) / f"{server['id']}-{what}-again.log", "ab")
@@ -89,9 +89,9 @@
             self.started.append(process)
             server[field] = process.pid
         if what == "backend":
-            self.control_again(name)
+            self.restore_behaviour(name)
 
-    def control_again(self, name):
+    def restore_behaviour(self, name):
         """Tell a new backend server how its predecessor behaved."""
         behaviour = self.behaviours.get(name)
         for _ in range(40 if behaviour else 0):
@@ -106,7 +106,7 @@
                 if name not in self.expected_down and not is_running(server["backendPid"]):
                     self.note(f"backend server {name[0]} {name[1]} crashed")
                     time.sleep(RESTART_SECONDS)
-                    self.start_again(name, "backend")
+                    self.restart(name, "backend")
 
     def note(self, text):
         self.events.append({"atMs": time.time() * 1000, "text": text})
@@ -117,7 +117,7 @@
         if answer is not None:
             self.executions.append({"service": name[0], "server": name[1], "runs": json.loads(answer)})
 
-    def send(self, name, what, number):
+    def send_signal(self, name, what, number):
         os.kill(self.servers[name]["pid" if what == "daemon" else "backendPid"], number)
 
     def wait_for_exit(self, pid):
@@ -132,14 +132,14 @@
         """Replace a VM: its daemon drains and exits, its backend server follows, and both start anew."""
         server = self.servers[name]
         self.expected_down.add(name)
-        self.send(name, "daemon", signal.SIGTERM)
+        self.send_signal(name, "daemon", signal.SIGTERM)
         self.wait_for_exit(server["pid"])
         self.collect(name)
-        self.send(name, "backend", signal.SIGTERM)
+        self.send_signal(name, "backend", signal.SIGTERM)
         self.wait_for_exit(server["backendPid"])
         time.sleep(RESTART_SECONDS)
-        self.start_again(name, "daemon")
-        self.start_again(name, "backend")
+        self.restart(name, "daemon")
+        self.restart(name, "backend")
         self.expected_down.discard(name)
 
     def apply(self, fault):
@@ -150,23 +150,23 @@
             self.submissions.append(race)
             self.note(race.text())
             return
-        for name in self.chosen(fault):
+        for name in self.select_servers(fault):
             if action == "control":
                 self.behaviours[name] = fault.get("behaviour", {})
                 continue
             self.note(f"{action} {'VM' if action == 'replace' else what} of {name[0]} {name[1]}")
             if action == "stop":
                 self.paused.add((name, what))
-                self.send(name, what, signal.SIGSTOP)
+                self.send_signal(name, what, signal.SIGSTOP)
             elif action == "continue":
-                self.send(name, what, signal.SIGCONT)
+                self.send_signal(name, what, signal.SIGCONT)
                 self.paused.discard((name, what))
             elif action == "kill":
                 self.expected_down.add(name)
                 self.collect(name)
-                self.send(name, what, signal.SIGKILL)
+                self.send_signal(name, what, signal.SIGKILL)
             elif action == "restart":
-                self.start_again(name, what)
+                self.restart(name, what)
                 self.expected_down.discard(name)
             elif action == "drain":
                 fetch(f"http://127.0.0.1:{self.servers[name]['caller']}/backend/drain", b"{}")
@@ -189,7 +189,7 @@
         self.stopping.set()
         self.watcher.join()
         for name, what in list(self.paused):
-            self.send(name, what, signal.SIGCONT)
+            self.send_signal(name, what, signal.SIGCONT)
         for name, server in self.servers.items():
             if is_running(server["backendPid"]):
                 self.collect(name)
--- a/scripts/experiments/report.py
+++ b/scripts/experiments/report.py
@@ -51,7 +51,7 @@
 
     scenario: dict
     runs: list
-    could: list  # possible weighted goodput by second
+    ceiling: list  # possible weighted goodput by second
 
 
 @dataclasses.dataclass(frozen=True)
@@ -71,16 +71,16 @@
     return (recovery["fromSecond"], recovery["toSecond"]) if recovery["toSecond"] > recovery["fromSecond"] else None
 
 
-def share_of(earned, could):
-    return sum(earned) / sum(could) if sum(could) else 0.0
+def share_of(earned, ceiling):
+    return sum(earned) / sum(ceiling) if sum(ceiling) else 0.0
 
 
-def figures_of(run, could):
-    """Give the figures of a run; `could` is the possible weighted goodput by second."""
+def figures_of(run, ceiling):
+    """Give the figures of a run; `ceiling` is the possible weighted goodput by second."""
     earned = run.result["bySecond"]["worth"]
     span = slice(*(overload_of(run) or (0, None)))
     return Figures(
-        goodput=sum(earned) / len(earned), share=share_of(earned, could), overload_share=share_of(earned[span], could[span]),
+        goodput=sum(earned) / len(earned), share=share_of(earned, ceiling), overload_share=share_of(earned[span], ceiling[span]),
         recovery=run.result["recovery"]["seconds"], violations=run.checks.violations())
 
 
@@ -112,12 +112,12 @@
     return ", ".join(parts)
 
 
-def summary_rows(runs, could):
+def summary_rows(runs, ceiling):
     """Give the cells of the table of policies, in the order of their first run."""
     rows = []
     for policy in dict.fromkeys(run.policy for run in runs):
         own = [run for run in runs if run.policy == policy]
-        figures = [figures_of(run, could) for run in own]
+        figures = [figures_of(run, ceiling) for run in own]
         totals = [run.result["totals"] for run in own]
         recovery = recovery_spread([one.recovery for one in figures]) if overload_of(own[0]) else "-"
         rows.append([
@@ -151,12 +151,12 @@
     return charts.Frame(run.result["seconds"], overload_of(run), "overload" if is_surge else "fault")
 
 
-def goodput_chart(run, could, most, colours):
+def goodput_chart(run, ceiling, most, colours):
     result = run.result
     chart = charts.Chart(frame_of(run), GOODPUT_HEIGHT, most, "weighted goodput, worth a second")
     chart.draw_areas(worth_by_kind(result), colours)
     chart.draw_line(offered_by_second(result), "offered")
-    chart.draw_line(could, "possible")
+    chart.draw_line(ceiling, "possible")
     for number, event in enumerate(run.events[:MOST_EVENTS]):
         chart.draw_marker(charts.Marker((event["atMs"] - result["startedAtMs"]) / 1000, event["text"], "#7b8794"), number + 1)
     recovery = result["recovery"]
@@ -203,10 +203,10 @@
 KIND_HEAD = ["kind", "worth of one", "sent", "attempts", "completed", "refused", "may have run", "failed", "cancelled", "p50 ms", "p99 ms"]
 
 
-def run_section(run, could, most, colours):
+def run_section(run, ceiling, most, colours):
     title = f"<h2>{html.escape(run.policy)} <span class=small>seed {run.seed}</span></h2>"
     lines = "<p class=legend><span>- - possible</span><span>··· offered</span></p>"
-    return (f"<section>{title}{tiles(run, figures_of(run, could))}{goodput_chart(run, could, most, colours)}{charts.legend(colours)}{lines}"
+    return (f"<section>{title}{tiles(run, figures_of(run, ceiling))}{goodput_chart(run, ceiling, most, colours)}{charts.legend(colours)}{lines}"
             f"{refusal_chart(run)}{table(KIND_HEAD, kind_rows(run.result))}</section>")
 
 
@@ -221,15 +221,15 @@
 
 def to_html(scenario, manifest, runs):
     """Write the report; the first run of each policy is drawn, all are in the table."""
-    could = possible.possible_by_second(scenario, manifest)
+    ceiling = possible.possible_by_second(scenario, manifest)
     first = list({run.policy: run for run in reversed(runs)}.values())[::-1]
-    most = charts.nice_ceiling(1.2 * max(max(could), max(max(run.result["bySecond"]["worth"]) for run in runs)))
+    most = charts.nice_ceiling(1.2 * max(max(ceiling), max(max(run.result["bySecond"]["worth"]) for run in runs)))
     colours = charts.colours_of(sorted(name for name, kind in first[0].result["kinds"].items() if kind["worthOfOne"] > 0))
     phases = ", ".join(f"{phase['name']} {phase['seconds']} s at {phase['rate']}/s" for phase in scenario["phases"])
     body = (f"<h1>{html.escape(scenario['name'])}</h1><p>{html.escape(scenario.get('story', ''))}</p>"
             f"<p class=small>{html.escape(scenario['deployment'])}, {scenario.get('servers', 2)} backend servers a service; {phases}</p>"
-            f"<section><h2>Policies</h2>{table(SUMMARY_HEAD, summary_rows(runs, could))}</section>"
-            + "".join(run_section(run, could, most, colours) for run in first) + DEFINITIONS)
+            f"<section><h2>Policies</h2>{table(SUMMARY_HEAD, summary_rows(runs, ceiling))}</section>"
+            + "".join(run_section(run, ceiling, most, colours) for run in first) + DEFINITIONS)
     return page(scenario["name"], body)
 
 
@@ -244,6 +244,6 @@
         name = html.escape(experiment.scenario["name"])
         link = f'<a href="{name}/report.html">{name}</a>'
         checked = sum(run.checks.keys for run in experiment.runs)
-        rows += [[link, *cells, checked] for cells in summary_rows(experiment.runs, experiment.could)]
+        rows += [[link, *cells, checked] for cells in summary_rows(experiment.runs, experiment.ceiling)]
     body = f"<h1>Experiments</h1><section>{table(['scenario', *SUMMARY_HEAD, 'keys checked'], rows)}</section>"
     return page("Experiments", body + DEFINITIONS)
--- a/standin/fleet/client.py
+++ b/standin/fleet/client.py
@@ -17,9 +17,9 @@
         self.seconds = seconds
 
 
-def request_bytes(name, host, path, method="GET", body=b"", patience=5.0, fields=None):
+def request_bytes(name, host, path, method="GET", body=b"", timeout=5.0, fields=None):
     """Gives the bytes of a request that says how many seconds its caller waits."""
-    head = {"Host": host, "X-Request-Id": name, "X-Deadline-Ms": int(patience * 1000), **(fields or {})}
+    head = {"Host": host, "X-Request-Id": name, "X-Deadline-Ms": int(timeout * 1000), **(fields or {})}
     return wire.encode(f"{method} {path} HTTP/1.1", head, body)
 
 
@@ -39,12 +39,12 @@
         self.began = time.monotonic()
         self.writer.write(b"".join(request_bytes(*arguments) for arguments in requests))
 
-    async def receive(self, patience=5.0):
+    async def receive(self, timeout=5.0):
         """Gives the answers until each request has one or the connection ends."""
         answers = []
         while self.names:
             try:
-                message = await asyncio.wait_for(wire.read_message(self.reader), patience)
+                message = await asyncio.wait_for(wire.read_message(self.reader), timeout)
             except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
                 message = None
             if message is None:
@@ -66,14 +66,14 @@
         self.reader = None
         self.writer = None
 
-    async def send(self, name, host, path, method="GET", body=b"", patience=5.0, fields=None, leaves=None):
-        """Sends a request and waits for its answer; `leaves` is when the client goes without it, before its patience ends."""
+    async def send(self, name, host, path, method="GET", body=b"", timeout=5.0, fields=None, disconnect_after=None):
+        """Sends a request and waits for its answer; `leaves` is when the client goes without it, before its timeout ends."""
         began = time.monotonic()
         try:
             if self.writer is None:
                 self.reader, self.writer = await asyncio.open_connection(self.host, int(self.port))
-            self.writer.write(request_bytes(name, host, path, method, body, patience, fields))
-            answer = await asyncio.wait_for(wire.read_message(self.reader), leaves or patience)
+            self.writer.write(request_bytes(name, host, path, method, body, timeout, fields))
+            answer = await asyncio.wait_for(wire.read_message(self.reader), disconnect_after or timeout)
         except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
             answer = None
         if answer is None or answer.fields.get("connection") == "close":
--- a/standin/fleet/day.py
+++ b/standin/fleet/day.py
@@ -52,7 +52,7 @@
         self.tallies = collections.defaultdict(Tally)
         self.unsafe = []
         self.factor = 1.0
-        self.numbers = 0
+        self.request_count = 0
 
     def configuration(self):
         routes = {name: {**route(HOST, **spec), "prefix": f"/{name}/"} for name, spec in self.plan["routes"].items()}
@@ -66,7 +66,7 @@
             await asyncio.sleep(1.5)
             before = self.processor_seconds()
             calls = [asyncio.ensure_future(self.load(load)) for load in self.plan["load"]]
-            faults = [asyncio.ensure_future(self.strike(event)) for event in self.plan.get("events", [])]
+            faults = [asyncio.ensure_future(self.inject(event)) for event in self.plan.get("events", [])]
             await asyncio.gather(*calls, *faults)
             return self.result(self.processor_seconds() - before)
 
@@ -89,8 +89,8 @@
         deadline = began + load.get("deadlineMs", 3000) / 1000
         is_safe = spec.get("kind", "idempotent") != "non_idempotent"
         for attempt in range(1 + load.get("retries", 1)):
-            self.numbers += 1
-            answer = await self.attempt(f"d{self.seed}-{self.numbers}", name, is_safe, deadline - time.monotonic())
+            self.request_count += 1
+            answer = await self.attempt(f"d{self.seed}-{self.request_count}", name, is_safe, deadline - time.monotonic())
             if answer.status == 200:
                 tally.served += 1
                 tally.seconds.append(time.monotonic() - began)
@@ -113,25 +113,25 @@
             self.unsafe.append(request)
         vm = self.random.choice([vm for vm in self.fleet.vms if vm.process.poll() is None])
         client = Client(vm.callers)
-        answer = await client.send(request, HOST, f"/{name}/{request}", method="GET" if is_safe else "POST", patience=max(left, 0.001))
+        answer = await client.send(request, HOST, f"/{name}/{request}", method="GET" if is_safe else "POST", timeout=max(left, 0.001))
         client.close()
         return answer
 
-    async def strike(self, event):
+    async def inject(self, event):
         """Does one event of the plan, and ends it after its time."""
         await asyncio.sleep(event["at"])
         do = event["do"]
         if do == "load":
             self.factor = event["factor"]
         elif do == "store":
-            self.fleet.store.trouble = event["trouble"]
+            self.fleet.store.fault = event["trouble"]
         elif do == "fault":
-            struck = self.chosen(event)
-            for vm in struck:
+            affected = self.select_vms(event)
+            for vm in affected:
                 vm.server.fault = Fault(**event["fault"])
         elif do == "kill":
-            struck = self.chosen(event)
-            for vm in struck:
+            affected = self.select_vms(event)
+            for vm in affected:
                 self.fleet.signal(vm, signal.SIGKILL)
                 vm.process.wait()
         else:
@@ -140,15 +140,15 @@
         if do == "load":
             self.factor = 1.0
         elif do == "store":
-            self.fleet.store.trouble = None
+            self.fleet.store.fault = None
         elif do == "fault":
-            for vm in struck:
+            for vm in affected:
                 vm.server.fault = Fault()
         else:
-            for vm in struck:
+            for vm in affected:
                 self.fleet.start_daemon(vm)
 
-    def chosen(self, event):
+    def select_vms(self, event):
         vms = [vm for vm in self.fleet.vms if event.get("service") in (None, vm.server.service)]
         return self.random.sample(vms, max(1, round(len(vms) * event.get("share", 0.5))))
 
--- a/standin/fleet/fleet.py
+++ b/standin/fleet/fleet.py
@@ -11,7 +11,7 @@
 from .server import Server, post
 from .store import Store
 
-PORTS_A_VM = 6
+PORTS_PER_VM = 6
 
 
 def configuration(version, routes, services, limits=None):
@@ -42,7 +42,7 @@
         self.settings_path = folder / f"{name}.json"
         self.log_path = folder / f"{name}.log"
         self.process = None
-        self.beats = None
+        self.heartbeat_task = None
 
     def settings(self, store, bounds):
         return {"id": self.name, "region": "r", "dataCentre": self.zone, "service": self.server.service, "address": "127.0.0.1",
@@ -78,8 +78,8 @@
         self.store.server.close()
         for vm in self.vms:
             vm.server.server.close()
-            if vm.beats is not None:
-                vm.beats.cancel()
+            if vm.heartbeat_task is not None:
+                vm.heartbeat_task.cancel()
             if vm.process is not None and vm.process.poll() is None:
                 vm.process.kill()
                 vm.process.wait()
@@ -89,7 +89,7 @@
         """Done for each VM before its daemon starts; a fleet whose links can fail puts them in place here."""
 
     async def add_vm(self, service, number, slots, queue):
-        ports = free_ports(PORTS_A_VM)
+        ports = free_ports(PORTS_PER_VM)
         server = Server(f"i-{service}-{number}", service, f"127.0.0.1:{ports[0]}", slots, queue, self.kinds, self.seed)
         vm = Vm(f"{service}-{number}", f"z{number % 3}", server, ports[1:], pathlib.Path(self.folder.name))
         server.outbound = vm.callers
@@ -98,7 +98,7 @@
         self.vms.append(vm)
         await self.prepare(vm)
         self.start_daemon(vm)
-        vm.beats = asyncio.ensure_future(self.beat(vm))
+        vm.heartbeat_task = asyncio.ensure_future(self.send_heartbeats(vm))
         return vm
 
     def start_daemon(self, vm):
@@ -109,7 +109,7 @@
     def settings_of(self, vm):
         return {**vm.settings(self.store_address, self.bounds), **self.more_settings}
 
-    async def beat(self, vm):
+    async def send_heartbeats(self, vm):
         while True:
             await vm.server.report(vm.reports)
             await asyncio.sleep(self.heartbeat)
--- a/standin/fleet/link.py
+++ b/standin/fleet/link.py
@@ -6,15 +6,15 @@
 class Link:
     """Passes connections to `target` on, and misbehaves on demand.
 
-    `delay` holds each piece back for so many seconds; `mute` names the ways that pass nothing: "there", "back" or both;
-    `refuses` resets each new connection. What has been held back by a way that is mute is passed on once it is not.
+    `delay` holds each piece back for so many seconds; `blocked` names the ways that pass nothing: "there", "back" or both;
+    `refuses` resets each new connection. What has been held back by a direction that is mute is passed on once it is not.
     """
 
     def __init__(self, port, target):
         self.port = port
         self.target = target
         self.delay = 0.0
-        self.mute = frozenset()
+        self.blocked = frozenset()
         self.refuses = False
         self.connections = set()
         self.server = None
@@ -42,7 +42,7 @@
 
     def heal(self):
         self.delay = 0.0
-        self.mute = frozenset()
+        self.blocked = frozenset()
         self.refuses = False
 
     async def serve(self, reader, writer):
@@ -51,16 +51,16 @@
             return
         host, port = self.target.split(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except (OSError, asyncio.CancelledError):
             writer.transport.abort()
             return
-        ends = {writer, far_writer}
+        ends = {writer, target_writer}
         for end in ends:
             end.is_silent = False
         self.connections |= ends
         try:
-            await asyncio.gather(self.carry(reader, far_writer, "there"), self.carry(far_reader, writer, "back"))
+            await asyncio.gather(self.forward(reader, target_writer, "there"), self.forward(target_reader, writer, "back"))
         except (OSError, asyncio.CancelledError):
             for end in ends:
                 end.transport.abort()
@@ -69,11 +69,11 @@
             for end in ends:
                 end.close()
 
-    async def carry(self, reader, writer, way):
+    async def forward(self, reader, writer, direction):
         while data := await reader.read(65536):
             if self.delay > 0.0:
                 await asyncio.sleep(self.delay)
-            while way in self.mute:
+            while direction in self.blocked:
                 await asyncio.sleep(0.02)
             if writer.is_silent:
                 # Read on, so that the sender sees nothing but silence.
--- a/standin/fleet/server.py
+++ b/standin/fleet/server.py
@@ -26,7 +26,7 @@
         self.down = shares.get("down", 1.0)
 
 
-class Watch:
+class Observer:
     """Told of all that a server sees; this one forgets it."""
 
     def arrived(self, server, name, request):
@@ -56,7 +56,7 @@
         self.kinds = kinds
         self.outbound = None
         self.random = random.Random(f"{seed}/{instance}")
-        self.watch = Watch()
+        self.observer = Observer()
         self.fault = Fault()
         self.running = 0
         self.waiting = collections.deque()
@@ -67,7 +67,7 @@
         self.cancelled = 0
         self.state = "ready"
         self.sequence = 0
-        self.born = int(time.time() * 1000)
+        self.started_ms = int(time.time() * 1000)
         self.accepts_after_drain = None
         self.crashes = 0
         self.writers = set()
@@ -87,7 +87,7 @@
             writer.transport.abort()
         await asyncio.sleep(self.fault.down)
         self.instance = f"{self.instance.split('+')[0]}+{self.crashes}"
-        self.born = int(time.time() * 1000)
+        self.started_ms = int(time.time() * 1000)
         await self.start()
 
     async def serve(self, reader, writer):
@@ -109,7 +109,7 @@
             writer.write(wire.response(421, {"X-Instance-Id": self.instance, "X-Request-Id": name, "X-Not-Executed": "1"}))
             return True
         self.arrivals += 1
-        self.watch.arrived(self, name, request)
+        self.observer.arrived(self, name, request)
         if self.state != "ready" and self.accepts_after_drain is None:
             self.accepts_after_drain = time.monotonic()
         if self.running >= self.slots and len(self.waiting) >= self.queue:
@@ -117,16 +117,16 @@
             writer.write(wire.response(503, {"X-Not-Executed": "1", "X-Request-Id": name, "X-Server-Load": self.load()}))
             return True
         run = asyncio.ensure_future(self.run(request, name))
-        gone = asyncio.ensure_future(reader.read(1))
-        await asyncio.wait({run, gone}, return_when=asyncio.FIRST_COMPLETED)
+        disconnected = asyncio.ensure_future(reader.read(1))
+        await asyncio.wait({run, disconnected}, return_when=asyncio.FIRST_COMPLETED)
         if not run.done():
             self.cancelled += 1
             run.cancel()
             return False
         # The reader is back in order for the next request: nothing had come.
-        gone.cancel()
+        disconnected.cancel()
         try:
-            await gone
+            await disconnected
         except asyncio.CancelledError:
             pass
         return await self.send(run.result(), name, writer)
@@ -161,7 +161,7 @@
         await self.slot()
         try:
             self.runs[name] += 1
-            self.watch.began(self, name, request)
+            self.observer.began(self, name, request)
             if self.fault.crash_on and self.fault.crash_on in request.target:
                 self.crashing = asyncio.ensure_future(self.crash())
             self.callers.add(request.fields.get("x-caller-service"))
@@ -184,7 +184,7 @@
         if left <= 0:
             return False
         name = f"{parent}.{self.random.getrandbits(64):016x}"
-        self.watch.called_inner(self, name, parent, path)
+        self.observer.called_inner(self, name, parent, path)
         address, port = self.outbound.split(":")
         try:
             reader, writer = await asyncio.open_connection(address, int(port))
@@ -197,7 +197,7 @@
 
     async def send(self, result, name, writer):
         status, body = result
-        self.watch.answered(self, name, status, body)
+        self.observer.answered(self, name, status, body)
         fields = {"X-Request-Id": name, "X-Server-Stamp": f"{self.instance}.{name}", "X-Server-Load": self.load()}
         if self.random.random() < self.fault.lost:
             writer.transport.abort()
@@ -225,15 +225,15 @@
         return await self.send_heartbeat(control, "ready", max(self.sequence - 1, 0))
 
     async def send_heartbeat(self, control, state, sequence):
-        body = {"address": self.announced, "born": self.born,
+        body = {"address": self.announced, "born": self.started_ms,
                 "info": {"service": self.service, "version": "v1", "zone": "z1", "slots": self.slots},
                 "status": {"state": state, "seq": sequence, "cold_remaining": "0ms"}}
         return await post(control, f"/api/instances/{self.instance}/heartbeat", json.dumps(body).encode())
 
-    async def say_farewell(self, control):
+    async def deregister(self, control):
         """Takes itself out of the list; gives the status of the acknowledgement, or None."""
         self.state = "left"
-        return await post(control, f"/api/instances/{self.instance}/deregister", json.dumps({"born": self.born}).encode())
+        return await post(control, f"/api/instances/{self.instance}/deregister", json.dumps({"born": self.started_ms}).encode())
 
 
 async def post(endpoint, path, body, method="POST"):
--- a/standin/fleet/soak.py
+++ b/standin/fleet/soak.py
@@ -16,7 +16,7 @@
 from .fleet import Fleet, configuration, route
 from .link import Link
 from .ports import free_ports
-from .record import PATIENCE, Record, Sent
+from .record import ANSWER_MARGIN, Attempt, Record
 from .server import Fault
 
 HOST = "soak.example"
@@ -63,22 +63,22 @@
 class Leaving:
     """How a server leaves: by a farewell or by heartbeats, and whether its daemon is killed around it."""
 
-    def __init__(self, is_farewell=False, restart=None, pause=0.0, late_at=None):
-        self.is_farewell = is_farewell
+    def __init__(self, is_deregistration=False, restart=None, pause=0.0, late_at=None):
+        self.is_deregistration = is_deregistration
         self.restart = restart
         self.pause = pause
         # In steps of 0.3 s after the acknowledgement.
         self.late_at = late_at
 
     @classmethod
-    def drawn(cls, choice):
-        if choice is None:
+    def draw(cls, rng):
+        if rng is None:
             return cls()
-        return cls(choice.random() < 0.5, choice.choice([None, "before", "after"]), choice.uniform(0.0, 0.8), choice.randrange(8))
+        return cls(rng.random() < 0.5, rng.choice([None, "before", "after"]), rng.uniform(0.0, 0.8), rng.randrange(8))
 
     def __str__(self):
-        said = "farewell" if self.is_farewell else "draining"
-        return f"{said}, daemon killed: {self.restart or 'no'}, late heartbeat at step {self.late_at}"
+        method = "farewell" if self.is_deregistration else "draining"
+        return f"{method}, daemon killed: {self.restart or 'no'}, late heartbeat at step {self.late_at}"
 
 
 class Soak:
@@ -98,8 +98,8 @@
         self.record = Record(float(BOUNDS["retry_budget_ratio"]), float(BOUNDS["budget_slack"]), DRAIN)
         self.version = 0
         self.added = []
-        self.numbers = 0
-        self.expected_ends = set()
+        self.request_count = 0
+        self.expected_exits = set()
         self.story = []
         self.is_over = False
 
@@ -108,22 +108,22 @@
     async def play(self):
         async with self.fleet:
             for vm in self.fleet.vms:
-                vm.server.watch = self.record
+                vm.server.observer = self.record
             self.change_configuration()
             if not await self.fleet.ready(20) or not await self.all_served(RECOVERY):
-                self.record.breaks("START", "the fleet did not come together")
+                self.record.report_violation("START", "the fleet did not come together")
                 return self.result()
             clients = [asyncio.ensure_future(self.client(number)) for number in range(self.clients)]
             clients += [asyncio.ensure_future(self.pipelining_client(number)) for number in range(self.pipelining)]
-            watch = asyncio.ensure_future(self.watch_ends())
-            await self.strike_all()
+            watcher = asyncio.ensure_future(self.watch_exits())
+            await self.inject_faults()
             self.heal()
             if not await self.all_served(RECOVERY):
-                self.record.breaks("RECOVER", f"not all is served {RECOVERY:.0f} s after the last fault")
+                self.record.report_violation("RECOVER", f"not all is served {RECOVERY:.0f} s after the last fault")
             self.is_over = True
             await asyncio.gather(*clients)
             await self.check_rest()
-            watch.cancel()
+            watcher.cancel()
             return self.result()
 
     def result(self):
@@ -149,60 +149,60 @@
         """Sends one request after the other, on kept connections or new ones, at any VM."""
         vm = None
         client = None
-        choice = random.Random(f"{self.seed}/{number}")
+        rng = random.Random(f"{self.seed}/{number}")
         while not self.is_over:
-            if client is None or choice.random() < 0.1:
-                vm = choice.choice(self.fleet.vms)
+            if client is None or rng.random() < 0.1:
+                vm = rng.choice(self.fleet.vms)
                 client = Client(vm.callers)
-            await self.request(vm, client, choice)
-            if choice.random() < 0.4:
+            await self.request(vm, client, rng)
+            if rng.random() < 0.4:
                 client.close()
                 client = None
-            await asyncio.sleep(choice.expovariate(8))
+            await asyncio.sleep(rng.expovariate(8))
 
     async def pipelining_client(self, number):
         """Sends several requests at once on a connection, now and then one that must not be repeated among them, and some on top."""
-        choice = random.Random(f"{self.seed}/pipelining/{number}")
+        rng = random.Random(f"{self.seed}/pipelining/{number}")
         while not self.is_over:
-            vm = choice.choice(self.fleet.vms)
+            vm = rng.choice(self.fleet.vms)
             pipeline = Pipeline(vm.callers)
-            for _ in range(choice.randint(1, 4)):
-                if not await self.batch(vm, pipeline, choice):
+            for _ in range(rng.randint(1, 4)):
+                if not await self.batch(vm, pipeline, rng):
                     break
-                await asyncio.sleep(choice.expovariate(4))
+                await asyncio.sleep(rng.expovariate(4))
             pipeline.close()
 
-    async def batch(self, vm, pipeline, choice):
+    async def batch(self, vm, pipeline, rng):
         """Sends a batch and notes how each of its requests ended; false once the connection is over."""
-        requests = [self.next_request(vm, choice) for _ in range(choice.randint(2, 6))]
-        patience = LONGEST_TIMEOUT * len(requests) + PATIENCE
+        requests = [self.next_request(vm, rng) for _ in range(rng.randint(2, 6))]
+        timeout = LONGEST_TIMEOUT * len(requests) + ANSWER_MARGIN
         try:
-            await pipeline.send([(name, HOST, sent.path, sent.method, sent.body, patience) for name, sent in requests])
-            answers = await pipeline.receive(patience)
+            await pipeline.send([(name, HOST, sent.path, sent.method, sent.body, timeout) for name, sent in requests])
+            answers = await pipeline.receive(timeout)
         except OSError:
             answers = []
         for (name, _), answer in zip(requests, answers):
-            self.record.gets(name, answer, False, patience)
+            self.record.note_outcome(name, answer, False, timeout)
         for name, _ in requests[len(answers):]:
-            self.record.gets(name, Answer(name, None, {}, b"", 0.0), False, patience)
+            self.record.note_outcome(name, Answer(name, None, {}, b"", 0.0), False, timeout)
         return len(answers) == len(requests) and answers[-1].fields.get("connection") != "close"
 
-    def next_request(self, vm, choice):
-        kind = choice.choices(list(MIX), list(MIX.values()))[0]
-        name = choice.choice(self.added) if kind == "added" and self.added else kind
+    def next_request(self, vm, rng):
+        kind = rng.choices(list(MIX), list(MIX.values()))[0]
+        name = rng.choice(self.added) if kind == "added" and self.added else kind
         is_unsafe = name == "entry"
-        self.numbers += 1
-        request = f"s{self.seed}-{self.numbers}"
-        body = bytes(choice.getrandbits(8) for _ in range(choice.choice((0, 10, 3000)))) if is_unsafe else b""
-        sent = Sent(vm, name, f"/{name}/{request}", "POST" if is_unsafe else "GET", body)
-        self.record.sends(request, sent)
+        self.request_count += 1
+        request = f"s{self.seed}-{self.request_count}"
+        body = bytes(rng.getrandbits(8) for _ in range(rng.choice((0, 10, 3000)))) if is_unsafe else b""
+        sent = Attempt(vm, name, f"/{name}/{request}", "POST" if is_unsafe else "GET", body)
+        self.record.note_sent(request, sent)
         return request, sent
 
-    async def request(self, vm, client, choice):
-        request, sent = self.next_request(vm, choice)
-        patience = LONGEST_TIMEOUT + PATIENCE
-        answer = await client.send(request, HOST, sent.path, method=sent.method, body=sent.body, patience=patience)
-        self.record.gets(request, answer, client.has_more(), patience)
+    async def request(self, vm, client, rng):
+        request, sent = self.next_request(vm, rng)
+        timeout = LONGEST_TIMEOUT + ANSWER_MARGIN
+        answer = await client.send(request, HOST, sent.path, method=sent.method, body=sent.body, timeout=timeout)
+        self.record.note_outcome(request, answer, client.has_more(), timeout)
 
     async def all_served(self, seconds):
         """Waits until each VM serves each route, by requests that count like any others."""
@@ -217,19 +217,19 @@
         return not missing
 
     async def probe(self, vm, name):
-        self.numbers += 1
-        request = f"s{self.seed}-{self.numbers}"
-        sent = Sent(vm, name, f"/{name}/", "POST" if name == "entry" else "GET", b"")
-        self.record.sends(request, sent)
+        self.request_count += 1
+        request = f"s{self.seed}-{self.request_count}"
+        sent = Attempt(vm, name, f"/{name}/", "POST" if name == "entry" else "GET", b"")
+        self.record.note_sent(request, sent)
         client = Client(vm.callers)
-        answer = await client.send(request, HOST, sent.path, method=sent.method, patience=LONGEST_TIMEOUT + PATIENCE)
-        self.record.gets(request, answer, client.has_more(), LONGEST_TIMEOUT + PATIENCE)
+        answer = await client.send(request, HOST, sent.path, method=sent.method, timeout=LONGEST_TIMEOUT + ANSWER_MARGIN)
+        self.record.note_outcome(request, answer, client.has_more(), LONGEST_TIMEOUT + ANSWER_MARGIN)
         client.close()
         return answer.status == 200
 
     # Faults.
 
-    async def strike_all(self):
+    async def inject_faults(self):
         """Begins faults at random times; each ends by itself, and many are under way at once."""
         faults = [self.kill, self.kill, self.pause, self.end_and_start, self.end_and_start, self.reload, self.server_fails, self.server_fails,
                   self.server_crashes, self.server_leaves, self.server_leaves, self.link_fails, self.link_fails, self.link_fails,
@@ -242,49 +242,49 @@
         await asyncio.gather(*running)
 
     def heal(self):
-        self.fleet.store.trouble = None
+        self.fleet.store.fault = None
         for vm in self.fleet.vms:
             vm.server.fault = Fault()
             for link in vm.links.values():
                 link.heal()
 
-    def tell(self, vm, text):
+    def note(self, vm, text):
         self.story.append(f"{time.monotonic() - self.begin():.2f} s {vm.name if vm else 'store'}: {text}")
 
     def begin(self):
         return next(iter(self.record.sent.values())).began
 
-    def some_vm(self):
+    def pick_vm(self):
         """A VM whose daemon and server nothing else is done to at the moment."""
         free = [vm for vm in self.fleet.vms if not getattr(vm, "is_taken", False)]
         return self.random.choice(free) if len(free) > len(self.fleet.vms) / 2 else None
 
     async def kill(self):
-        vm = self.some_vm()
+        vm = self.pick_vm()
         if vm is None:
             return
         vm.is_taken = True
-        self.tell(vm, "killed")
+        self.note(vm, "killed")
         await self.kill_and_start(vm, self.random.uniform(0.0, 1.5))
         await asyncio.sleep(1)
         vm.is_taken = False
 
     async def kill_and_start(self, vm, seconds):
-        self.record.trouble(vm, EXCUSED)
-        self.expected_ends.add(vm.process.pid)
+        self.record.note_daemon_fault(vm, EXCUSED)
+        self.expected_exits.add(vm.process.pid)
         vm.process.kill()
         await asyncio.to_thread(vm.process.wait)
         await asyncio.sleep(seconds)
         self.fleet.start_daemon(vm)
 
     async def pause(self):
-        vm = self.some_vm()
+        vm = self.pick_vm()
         if vm is None:
             return
         vm.is_taken = True
         seconds = self.random.uniform(0.2, 3.0)
-        self.tell(vm, f"paused for {seconds:.2f} s")
-        self.record.trouble(vm, seconds + EXCUSED)
+        self.note(vm, f"paused for {seconds:.2f} s")
+        self.record.note_daemon_fault(vm, seconds + EXCUSED)
         vm.process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         vm.process.send_signal(signal.SIGCONT)
@@ -293,104 +293,104 @@
 
     async def end_and_start(self):
         """SIGTERM, at times twice, at times with the configuration changed; what is in flight must be finished."""
-        vm = self.some_vm()
+        vm = self.pick_vm()
         if vm is None:
             return
         vm.is_taken = True
-        self.tell(vm, "SIGTERM")
-        self.expected_ends.add(vm.process.pid)
+        self.note(vm, "SIGTERM")
+        self.expected_exits.add(vm.process.pid)
         vm.process.terminate()
         if self.random.random() < 0.3:
             await asyncio.sleep(0.1)
             vm.process.terminate()
         try:
-            await asyncio.to_thread(vm.process.wait, GRACE + PATIENCE)
+            await asyncio.to_thread(vm.process.wait, GRACE + ANSWER_MARGIN)
         except Exception:
-            self.record.breaks("GRACE", f"{vm.name} did not end within {GRACE + PATIENCE:.0f} s of SIGTERM")
+            self.record.report_violation("GRACE", f"{vm.name} did not end within {GRACE + ANSWER_MARGIN:.0f} s of SIGTERM")
             vm.process.kill()
         self.fleet.start_daemon(vm)
         await asyncio.sleep(1)
         vm.is_taken = False
 
     async def reload(self):
-        vm = self.some_vm()
+        vm = self.pick_vm()
         if vm is None:
             return
-        self.tell(vm, "settings change, SIGHUP")
+        self.note(vm, "settings change, SIGHUP")
         vm.settings_path.write_text(json.dumps({**self.fleet.settings_of(vm), "note": str(time.monotonic())}))
         vm.process.send_signal(signal.SIGHUP)
 
     async def server_fails(self):
-        vm = self.some_vm()
+        vm = self.pick_vm()
         if vm is None:
             return
         share = self.random.uniform(0.1, 0.6)
         fault = self.random.choice([{"extra": share}, {"lost": share}, {"cut": share}, {"unsigned": share}, {"failed": share}, {"slowness": 8.0}])
-        self.tell(vm, f"server {fault}")
+        self.note(vm, f"server {fault}")
         vm.server.fault = Fault(**fault)
         await asyncio.sleep(self.random.uniform(0.5, 4.0))
         vm.server.fault = Fault()
 
     async def server_crashes(self):
-        vm = self.some_vm()
+        vm = self.pick_vm()
         if vm is None:
             return
         vm.is_taken = True
-        self.tell(vm, "server crashes")
+        self.note(vm, "server crashes")
         await vm.server.crash()
         vm.is_taken = False
 
     async def server_leaves(self):
         """The server says that it leaves, goes on for a while, ends, and another takes its address."""
-        vm = self.some_vm()
+        vm = self.pick_vm()
         if vm is None:
             return
         vm.is_taken = True
-        vm.beats.cancel()
-        how = Leaving.drawn(self.leaving)
-        self.tell(vm, f"server leaves: {how}")
+        vm.heartbeat_task.cancel()
+        how = Leaving.draw(self.leaving)
+        self.note(vm, f"server leaves: {how}")
         if how.restart == "before":
             await self.kill_and_start(vm, how.pause)
-        if await self.is_acknowledged(vm, how):
+        if await self.announce_leaving(vm, how):
             self.record.left(vm.server.instance)
             if how.restart == "after":
                 await self.kill_and_start(vm, how.pause)
-            await self.stay_on(vm, how, DRAIN + self.random.uniform(0.5, 2.0))
+            await self.keep_running(vm, how, DRAIN + self.random.uniform(0.5, 2.0))
         vm.server.state = "ready"
         vm.server.sequence = 0
         await vm.server.crash()
-        vm.beats = asyncio.ensure_future(self.fleet.beat(vm))
+        vm.heartbeat_task = asyncio.ensure_future(self.fleet.send_heartbeats(vm))
         vm.is_taken = False
 
-    async def is_acknowledged(self, vm, how):
+    async def announce_leaving(self, vm, how):
         """Lets a server say that it leaves until it is heard."""
         for _ in range(20):
-            say = vm.server.say_farewell(vm.reports) if how.is_farewell else vm.server.report(vm.reports, state="draining")
-            if await say == 200:
+            report = vm.server.deregister(vm.reports) if how.is_deregistration else vm.server.report(vm.reports, state="draining")
+            if await report == 200:
                 return True
             await asyncio.sleep(0.2)
         return False
 
-    async def stay_on(self, vm, how, seconds):
+    async def keep_running(self, vm, how, seconds):
         """Lets a server that leaves go on; one that said farewell sends no more heartbeats, but an earlier one may still come."""
         for step in range(int(seconds / 0.3)):
-            if not how.is_farewell:
+            if not how.is_deregistration:
                 await vm.server.report(vm.reports)
             if step == how.late_at:
                 await vm.server.report_late(vm.reports)
             await asyncio.sleep(0.3)
 
     async def link_fails(self):
-        vm = self.some_vm()
+        vm = self.pick_vm()
         if vm is None:
             return
         kind = self.random.choice(list(vm.links))
         link = vm.links[kind]
         how = self.random.choice(["delay", "reset", "silence", "there", "back", "both", "refuse"])
         seconds = self.random.uniform(0.3, 3.0)
-        self.tell(vm, f"link to {kind}: {how} for {seconds:.2f} s")
+        self.note(vm, f"link to {kind}: {how} for {seconds:.2f} s")
         if kind == "backend":
-            self.record.harm(vm, seconds)
+            self.record.note_link_fault(vm, seconds)
         if how == "delay":
             link.delay = self.random.uniform(0.02, 0.3)
         elif how == "reset":
@@ -401,35 +401,35 @@
             link.refuses = True
             link.reset()
         else:
-            link.mute = frozenset(("there", "back")) if how == "both" else frozenset((how,))
+            link.blocked = frozenset(("there", "back")) if how == "both" else frozenset((how,))
         await asyncio.sleep(seconds)
         link.heal()
 
     async def store_fails(self):
         how = self.random.choice(["refuse", "silent", "lose", "forget"])
         seconds = self.random.uniform(0.5, 5.0)
-        self.tell(None, f"{how} for {seconds:.2f} s")
+        self.note(None, f"{how} for {seconds:.2f} s")
         if how == "forget":
             self.fleet.store.forget_history()
             return
-        self.fleet.store.trouble = how
+        self.fleet.store.fault = how
         await asyncio.sleep(seconds)
-        self.fleet.store.trouble = None
+        self.fleet.store.fault = None
 
     async def configure(self):
         self.change_configuration()
-        self.tell(None, f"configuration {self.version}")
+        self.note(None, f"configuration {self.version}")
 
     # Checks that are not of one request.
 
-    async def watch_ends(self):
+    async def watch_exits(self):
         """No daemon ends that was not told to."""
         while True:
             for vm in self.fleet.vms:
-                if vm.process.poll() is not None and vm.process.pid not in self.expected_ends:
-                    self.expected_ends.add(vm.process.pid)
-                    self.record.breaks("EXIT", f"{vm.name} ended by itself with {vm.process.returncode}:\n{self.fleet.log(vm)[-2000:]}")
-                    self.record.trouble(vm, EXCUSED)
+                if vm.process.poll() is not None and vm.process.pid not in self.expected_exits:
+                    self.expected_exits.add(vm.process.pid)
+                    self.record.report_violation("EXIT", f"{vm.name} ended by itself with {vm.process.returncode}:\n{self.fleet.log(vm)[-2000:]}")
+                    self.record.note_daemon_fault(vm, EXCUSED)
                     self.fleet.start_daemon(vm)
             await asyncio.sleep(0.2)
 
@@ -441,7 +441,7 @@
                 break
             await asyncio.sleep(0.2)
         else:
-            self.record.breaks("LEFT", f"runs are left at {left}, though nobody waits for them")
+            self.record.report_violation("LEFT", f"runs are left at {left}, though nobody waits for them")
         self.record.check_budget()
         for vm in self.fleet.vms:
             self.check_log(vm)
@@ -461,5 +461,5 @@
                 json.loads(line)
             except ValueError:
                 # A daemon that was killed may have been in the middle of its last line, and the next one begins after it.
-                if not self.record.troubled[vm.name]:
-                    self.record.breaks("LOG", f"{vm.name}: {line[:200]}")
+                if not self.record.daemon_faults[vm.name]:
+                    self.record.report_violation("LOG", f"{vm.name}: {line[:200]}")
--- a/standin/fleet/store.py
+++ b/standin/fleet/store.py
@@ -16,14 +16,14 @@
 
 
 class Store:
-    """Keeps rows in memory. `trouble` is None, "refuse" (503), "silent" (no answer) or "lose" (done, but not answered)."""
+    """Keeps rows in memory. `fault` is None, "refuse" (503), "silent" (no answer) or "lose" (done, but not answered)."""
 
     def __init__(self):
         self.rows = {}
         self.version = 0
         self.oldest = 0
         self.calls = 0
-        self.trouble = None
+        self.fault = None
         self.changed = asyncio.Event()
         self.connections = set()
         self.silent = set()
@@ -47,8 +47,8 @@
 
     def silence(self):
         """Leaves all open connections open without a sign of life, also to the probes of the other side's kernel; new ones work."""
-        let_nothing_in = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, 0))
-        program = struct.pack("HL", 1, ctypes.addressof(let_nothing_in))
+        drop_all = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, 0))
+        program = struct.pack("HL", 1, ctypes.addressof(drop_all))
         for writer in self.connections:
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
         self.silent |= self.connections
@@ -62,11 +62,11 @@
         try:
             while (request := await wire.read_message(reader)) is not None:
                 self.calls += 1
-                if self.trouble == "silent":
+                if self.fault == "silent":
                     await asyncio.sleep(30)
                     break
-                status, body = (503, {}) if self.trouble == "refuse" else await self.answer(request)
-                if self.trouble == "lose":
+                status, body = (503, {}) if self.fault == "refuse" else await self.answer(request)
+                if self.fault == "lose":
                     break
                 if writer in self.silent:
                     await asyncio.sleep(30)
--- a/test/processes/test_at_most_once.py
+++ b/test/processes/test_at_most_once.py
@@ -35,10 +35,10 @@
         return None, key, b""
 
 
-def mint(entries, chooser):
+def mint(entries, rng):
     for _ in range(50):
         try:
-            request = urllib.request.Request(f"{chooser.choice(entries)}/keys/launch-log/launch-entry", data=b"", method="POST")
+            request = urllib.request.Request(f"{rng.choice(entries)}/keys/launch-log/launch-entry", data=b"", method="POST")
             with urllib.request.urlopen(request, timeout=TIMEOUT) as answer:
                 return json.loads(answer.read())["key"]
         except OSError:
@@ -46,10 +46,10 @@
     raise AssertionError("no daemon mints a key")
 
 
-def uuid7(chooser):
+def uuid7(rng):
     """A key of the caller's own making, with the time of its own clock."""
     milliseconds = time.time_ns() // 1_000_000
-    rest = chooser.getrandbits(80)
+    rest = rng.getrandbits(80)
     value = (milliseconds << 80) | (0x7 << 76) | ((rest >> 68 & 0xFFF) << 64) | (0b10 << 62) | (rest & (1 << 62) - 1)
     return str(uuid.UUID(int=value))
 
@@ -59,11 +59,11 @@
 
     def wait_for_grants(self):
         """Until every entry knows the owners of keys that callers mint; a key before that is refused."""
-        chooser = random.Random(SEED)
+        rng = random.Random(SEED)
         entries = [url for urls in self.mesh["entries"].values() for url in urls]
         for url in entries:
             for _ in range(300):
-                if try_call(f"{url}/call/launch-log/launch-entry/", uuid7(chooser), b"warm")[0] == "completed":
+                if try_call(f"{url}/call/launch-log/launch-entry/", uuid7(rng), b"warm")[0] == "completed":
                     break
                 time.sleep(0.05)
             else:
@@ -71,26 +71,26 @@
 
     def launch(self, number):
         """One launch, sent again at other entries until it is answered as completed; gives all keys and verdicts."""
-        chooser = random.Random(SEED * 1000 + number)
+        rng = random.Random(SEED * 1000 + number)
         entries = [url for urls in self.mesh["entries"].values() for url in urls]
-        key = mint(entries, chooser) if number % 2 == 0 else uuid7(chooser)
-        told = []
+        key = mint(entries, rng) if number % 2 == 0 else uuid7(rng)
+        results = []
         for _ in range(4):
-            url = f"{chooser.choice(entries)}/call/launch-log/launch-entry/"
+            url = f"{rng.choice(entries)}/call/launch-log/launch-entry/"
             verdict, next_key, answer = try_call(url, key, f"launch {number}".encode())
-            told.append((key, verdict, answer))
-            if verdict == "completed" and chooser.random() < 0.5:
+            results.append((key, verdict, answer))
+            if verdict == "completed" and rng.random() < 0.5:
                 break
             key = next_key
-        return told
+        return results
 
     def test_pauses_and_kills_in_the_middle_of_launches_run_no_key_twice(self):
         # A member is billed twice for one launch. A daemon is paused or killed while it runs the entry, the caller hears
         # nothing and sends it again through another daemon; the paused one wakes and goes on with what it had.
-        chooser = random.Random(SEED)
+        rng = random.Random(SEED)
         daemons = self.mesh["daemons"]
         self.wait_for_grants()
-        victims = chooser.sample(daemons, 3)
+        victims = rng.sample(daemons, 3)
         is_over = threading.Event()
 
         def disturb():
@@ -107,7 +107,7 @@
             disturber = threading.Thread(target=disturb)
             disturber.start()
             try:
-                told = [launch.result() for launch in launches]
+                results = [launch.result() for launch in launches]
             finally:
                 is_over.set()
                 disturber.join()
@@ -121,7 +121,7 @@
             most = MOST_RUNS.get(service, 1)
             self.assertEqual({}, {key: count for key, count in runs.items() if count > most}, f"at {service}, more than {most}")
         runs = {key: count for service, counts in by_service.items() if service != IDEMPOTENT_SERVICE for key, count in counts.items()}
-        for answers in told:
+        for answers in results:
             completed = {answer for _, verdict, answer in answers if verdict == "completed"}
             self.assertLessEqual(len(completed), 1, "two different answers to one launch")
             for key, verdict, _ in answers:
@@ -130,7 +130,7 @@
                 if verdict == "completed":
                     self.assertEqual(1, runs.get(key, 0))
             self.assertLessEqual(sum(runs.get(key, 0) for key in {key for key, _, _ in answers}), 1)
-        verdicts = [verdict for answers in told for _, verdict, _ in answers]
+        verdicts = [verdict for answers in results for _, verdict, _ in answers]
         self.assertGreater(verdicts.count("completed"), 0)
         print(f"at most once: {len(runs)} keys ran, at most {max(runs.values())} time each;",
               {str(verdict): verdicts.count(verdict) for verdict in sorted(set(verdicts), key=str)})
--- a/test/processes/test_bad_input.py
+++ b/test/processes/test_bad_input.py
@@ -60,7 +60,7 @@
             self.assertNotIn(b"200 OK", exchange(self.port, data))
         self.assertEqual(before + len(inputs), self.dropped())
 
-    def test_wrong_headers_and_paths_are_told_what_is_wrong(self):
+    def test_wrong_headers_and_paths_are_answered_with_a_reason(self):
         roster = f"{self.entry}/call/duty-roster/roster-read/"
         launch = f"{self.entry}/call/launch-log/launch-entry/"
         cases = [
--- a/test/processes/test_command_line.py
+++ b/test/processes/test_command_line.py
@@ -51,7 +51,7 @@
                 code, _, errors = run("check", "--manifest", str(example))
                 self.assertEqual((SUCCESS, ""), (code, errors))
 
-    def test_everything_wrong_in_settings_is_said_at_once_and_nothing_starts(self):
+    def test_all_errors_in_settings_are_reported_at_once_and_nothing_starts(self):
         path = self.write({"id": "", "callerPort": "8000", "peerPort": 0, "backendUrl": "ftp://x", "colour": "red"})
         for subcommand in ("check", "daemon"):
             with self.subTest(subcommand=subcommand):
@@ -66,7 +66,7 @@
         self.assertEqual(BAD_INPUT, code)
         self.assertIn("not JSON at byte", errors)
 
-    def test_an_address_that_is_taken_is_said_at_start(self):
+    def test_an_address_that_cannot_be_bound_is_reported_at_start(self):
         settings = {"id": "a", "dataCentre": "d", "callerPort": 1, "peerPort": 2, "listenAddress": "192.0.2.1",
                     "backendUrl": "http://127.0.0.1:9", "peerEncryption": "off", "operatorAccess": "open"}
         code, _, errors = run("daemon", "--settings", self.write(settings))
--- a/test/processes/test_configuration.py
+++ b/test/processes/test_configuration.py
@@ -70,7 +70,7 @@
 
 
 class ConfigurationTest(DeploymentTest):
-    def test_a_submission_is_in_force_everywhere_and_a_late_one_is_told_the_winner(self):
+    def test_a_submission_is_in_force_everywhere_and_a_late_one_is_answered_with_the_winner(self):
         base = self.newest()
         code, _ = submit(self.platform, self.manifest(1), base, "--submitter", "anna")
         self.assertEqual(0, code)
@@ -89,7 +89,7 @@
         # may be told that it lost, or two that they won; or a daemon may fall back to a version it had left behind.
         first = self.newest()
         self.control(loseAnswerShare=0.5)
-        accepted, conflicts, odd = [], [], []
+        accepted, conflicts, unexpected = [], [], []
         lock = threading.Lock()
 
         def race(operator):
@@ -104,7 +104,7 @@
                         conflicts.append(base + 1)
                         base = int(re.search(r"--base (\d+)", text)[1])
                     else:
-                        odd.append((code, text))
+                        unexpected.append((code, text))
 
         seen = {entry: [] for entry in self.entries}
         is_over = threading.Event()
@@ -127,7 +127,7 @@
         self.wait_for(versions[-1])
         is_over.set()
         watcher.join()
-        self.assertEqual([], odd)
+        self.assertEqual([], unexpected)
         self.assertEqual(20, len(accepted) + len(conflicts))
         self.assertEqual(list(range(first + 1, first + 1 + len(accepted))), versions)
         last = dict(accepted)[versions[-1]]
--- a/test/processes/test_fleet_standin.py
+++ b/test/processes/test_fleet_standin.py
@@ -10,7 +10,7 @@
 
 sys.path.insert(0, str(ROOT / "standin"))
 
-from fleet.fleet import PORTS_A_VM, free_ports  # noqa: E402
+from fleet.fleet import PORTS_PER_VM, free_ports  # noqa: E402
 
 
 class Ports(unittest.TestCase):
@@ -18,7 +18,7 @@
         # Two VMs of one fleet were told to answer readiness probes on one port. The second daemon could not listen and
         # ended; the first answered the probes of both, so the fleet counted as ready and never came together. Chosen at
         # random without memory, 36 ports of 22,000 hold one twice in 3 fleets of 100.
-        given = [port for _ in range(200) for port in free_ports(PORTS_A_VM)]
+        given = [port for _ in range(200) for port in free_ports(PORTS_PER_VM)]
         self.assertEqual(len(given), len(set(given)))
 
 
--- a/test/processes/test_membership.py
+++ b/test/processes/test_membership.py
@@ -15,15 +15,15 @@
 
 from fleet.ports import free_ports
 
-PATIENCE = 60
+TIMEOUT = 60
 
 
-def wait_until(holds, what):
+def wait_until(condition, description):
     """Looks again and again until something holds; the limit only keeps a broken run from hanging."""
-    limit = time.monotonic() + PATIENCE
-    while not holds():
+    limit = time.monotonic() + TIMEOUT
+    while not condition():
         if time.monotonic() > limit:
-            raise AssertionError(f"never came: {what}")
+            raise AssertionError(f"never came: {description}")
         time.sleep(0.05)
 
 
@@ -124,7 +124,7 @@
         observer = self.daemon("flight-history-0")
         wait_until(lambda: states(observer)["logbook-archive-0"] == "idle", "the server's absence at another daemon")
 
-    def test_a_paused_daemon_is_a_suspect_and_comes_back(self):
+    def test_a_paused_daemon_becomes_suspect_and_returns_to_serving(self):
         # A VM is paused for some seconds. The fleet must stop sending it work, and take it back when it wakes.
         paused = self.daemon("duty-roster-1")
         observer = self.daemon("flight-history-1")
@@ -168,7 +168,7 @@
         except OSError:
             return False
 
-    def test_strangers_are_kept_out_and_counted(self):
+    def test_daemons_without_accepted_keys_are_refused_and_counted(self):
         # Someone in the network reads request bodies, or draws calls to a server of his own, by a process that speaks
         # the inner protocol: with keys of his own, or with none.
         target = self.daemon("flight-history-0")
@@ -201,7 +201,7 @@
         events = [json.loads(line)["event"] for path in pathlib.Path(self.folder.name).glob("*.log") for line in path.read_text().splitlines()]
         self.assertIn("member changed", events)
 
-    def test_switched_off_encryption_is_said_at_the_start(self):
+    def test_switched_off_encryption_is_logged_at_start(self):
         self.start("plain", free_ports(2), [], peerEncryption="off")
         lines = (pathlib.Path(self.folder.name) / "plain.log").read_text().splitlines()
         self.assertTrue(any("peer encryption is off" in json.loads(line)["event"] for line in lines))
--- a/test/processes/test_pipelining.py
+++ b/test/processes/test_pipelining.py
@@ -13,7 +13,7 @@
 
 
 class Pipelining(FleetCase):
-    async def test_requests_behind_a_slow_one_run_beside_it_and_each_gets_its_own_answer(self):
+    async def test_requests_behind_a_slow_one_run_concurrently_and_each_gets_its_own_answer(self):
         # A member's page waits for the sum of its requests: each is begun only when the one ahead has been answered.
         for server in self.fleet.servers("roster"):
             server.fault = Fault(slowness=50)
@@ -50,22 +50,22 @@
             server.fault = Fault(slowness=500)
         pipeline = Pipeline(self.fleet.vms[0].callers)
         await pipeline.send([(f"p-{number}", HOST, "/read/") for number in range(5)])
-        begun = await self.begun_of(5)
+        started = await self.count_started(5)
         # The fifth may still wait at a daemon whose server has no slot left; it is never begun.
-        self.assertGreaterEqual(begun, 4)
+        self.assertGreaterEqual(started, 4)
         pipeline.close()
         await asyncio.sleep(0.5)
-        self.assertEqual(begun, sum(server.cancelled for server in self.fleet.servers("roster")))
-        self.assertEqual(begun, sum(self.fleet.runs(f"p-{number}") for number in range(5)))
+        self.assertEqual(started, sum(server.cancelled for server in self.fleet.servers("roster")))
+        self.assertEqual(started, sum(self.fleet.runs(f"p-{number}") for number in range(5)))
 
-    async def begun_of(self, count):
+    async def count_started(self, count):
         """Gives how many of so many requests run, once all do or nothing has begun for a second."""
-        begun, since = 0, time.monotonic()
-        while begun < count and time.monotonic() - since < 1:
+        started, since = 0, time.monotonic()
+        while started < count and time.monotonic() - since < 1:
             await asyncio.sleep(0.02)
             now = sum(self.fleet.runs(f"p-{number}") for number in range(count))
-            begun, since = (now, time.monotonic()) if now > begun else (begun, since)
-        return begun
+            started, since = (now, time.monotonic()) if now > started else (started, since)
+        return started
 
     async def test_a_shutdown_answers_all_that_was_taken_and_closes_with_the_last(self):
         for server in self.fleet.servers("roster"):
--- a/test/processes/test_sidecar.py
+++ b/test/processes/test_sidecar.py
@@ -62,7 +62,7 @@
         for server in self.fleet.servers("roster"):
             server.fault = Fault(slowness=500)
         client = Client(self.fleet.vms[0].callers)
-        answer = await client.send("n-1", HOST, "/read/", leaves=0.2)
+        answer = await client.send("n-1", HOST, "/read/", disconnect_after=0.2)
         self.assertIsNone(answer.status)
         await asyncio.sleep(0.5)
         self.assertGreater(sum(server.cancelled for server in self.fleet.servers("roster")), 0)
@@ -83,19 +83,19 @@
         statuses = [(await Client(self.fleet.vms[0].callers).send(f"n-{number}", HOST, "/read/")).status for number in range(20)]
         self.assertEqual([200] * 20, statuses)
 
-    async def test_a_request_that_crashes_servers_is_stopped_and_those_beside_it_are_served(self):
+    async def test_a_request_that_crashes_servers_is_quarantined_and_others_are_served(self):
         # One request takes down each server that begins to run it, with all that runs there, and it comes again and again
         # at any machine of the same service until the one it calls is gone.
         servers = self.fleet.servers("roster")
         for server in servers:
             server.fault = Fault(crash_on="poison", down=0.3)
-        innocent = Client(self.fleet.vms[1].callers)
+        unrelated = Client(self.fleet.vms[1].callers)
         statuses = []
         for number in range(24):
             poison = await Client(self.fleet.vms[number % 2].callers).send(f"p-{number}", HOST, "/read/poison")
             statuses.append(poison.status)
             for _ in range(20):
-                if (await innocent.send(f"i-{number}-{_}", HOST, "/read/well")).status == 200:
+                if (await unrelated.send(f"i-{number}-{_}", HOST, "/read/well")).status == 200:
                     break
                 await asyncio.sleep(0.2)
             else:
@@ -106,7 +106,7 @@
         refusal = await Client(self.fleet.vms[0].callers).send("p-last", HOST, "/read/poison")
         self.assertIn(b"quarantined", refusal.body)
 
-    async def test_the_story_of_a_failed_request_is_told_from_the_logs_alone(self):
+    async def test_explain_reconstructs_a_failed_request_from_the_logs_alone(self):
         # Whoever is on call has the name of a request that failed and the logs of all VMs, and nothing else.
         for server in self.fleet.servers("roster"):
             server.fault = Fault(slowness=500)
@@ -115,11 +115,11 @@
         await asyncio.sleep(0.5)
         logs = [argument for vm in self.fleet.vms for argument in ("--log", str(vm.log_path))]
         command = [str(BUILD / "egretlatch"), "explain", "story-1", *logs]
-        told = subprocess.run(command, capture_output=True, text=True, timeout=60)
-        self.assertEqual(0, told.returncode, told.stderr)
-        self.assertIn("story-1: A request history/", told.stdout)
-        self.assertIn("    20", told.stdout, "the inner call is set in under its request")
-        self.assertIn("A request roster/", told.stdout)
+        result = subprocess.run(command, capture_output=True, text=True, timeout=60)
+        self.assertEqual(0, result.returncode, result.stderr)
+        self.assertIn("story-1: A request history/", result.stdout)
+        self.assertIn("    20", result.stdout, "the inner call is set in under its request")
+        self.assertIn("A request roster/", result.stdout)
         document = json.loads(subprocess.run([*command, "--json"], capture_output=True, text=True, timeout=60).stdout)
         self.assertEqual({0, 1}, {line["depth"] for line in document["lines"]})
         self.assertEqual("refused", document["lines"][-1]["event"])
@@ -132,7 +132,7 @@
         with urllib.request.urlopen(f"http://{vm.readiness}/metrics", timeout=10) as page:
             return page.read().decode()
 
-    async def test_metrics_tell_the_state_of_a_daemon(self):
+    async def test_metrics_show_the_state_of_a_daemon(self):
         vm = self.fleet.vms[0]
         for number in range(5):
             await Client(vm.callers).send(f"n-{number}", HOST, "/lookup/x")
@@ -149,7 +149,7 @@
         self.assertIn('egretlatch_run_duration_seconds_count{service="history"}', text)
         self.assertRegex(text, r"egretlatch_resident_memory_bytes \d+")
 
-    async def test_spoiled_and_extra_answers_reach_nobody(self):
+    async def test_corrupt_and_extra_answers_reach_no_caller(self):
         # A caller gets bytes that no server made for it: an answer given twice, one cut short, one without a signature.
         for server in self.fleet.servers("roster"):
             server.fault = Fault(extra=0.3, cut=0.2, unsigned=0.2)
@@ -164,7 +164,7 @@
 
     async def test_a_server_that_leaves_gets_nothing_new_after_its_acknowledgement(self):
         vm = next(vm for vm in self.fleet.vms if vm.server.service == "roster")
-        vm.beats.cancel()
+        vm.heartbeat_task.cancel()
         self.assertEqual(200, await vm.server.report(vm.reports, state="draining"))
         await asyncio.sleep(self.drain_seconds())
         before = vm.server.arrivals
@@ -173,23 +173,23 @@
         self.assertEqual({200}, set(statuses))
         self.assertEqual(before, vm.server.arrivals)
 
-    async def test_a_farewell_to_a_daemon_that_has_just_started_is_not_undone_by_a_late_heartbeat(self):
-        vm = await self.restart_beside_silent_server()
-        self.assertEqual(200, await vm.server.say_farewell(vm.reports))
+    async def test_a_late_heartbeat_does_not_undo_a_deregistration_at_a_restarted_daemon(self):
+        vm = await self.restart_without_heartbeats()
+        self.assertEqual(200, await vm.server.deregister(vm.reports))
         await self.expect_no_arrivals_after_late_heartbeat(vm)
 
     async def test_a_server_that_leaves_gets_nothing_though_its_daemon_starts_again(self):
         vm = next(vm for vm in self.fleet.vms if vm.server.service == "roster")
-        vm.beats.cancel()
+        vm.heartbeat_task.cancel()
         self.assertEqual(200, await vm.server.report(vm.reports, state="draining"))
         await asyncio.sleep(0.1)
         await self.restart(vm)
         await self.expect_no_arrivals_after_late_heartbeat(vm)
 
-    async def restart_beside_silent_server(self):
+    async def restart_without_heartbeats(self):
         """Kills and starts a daemon whose server goes on and has not been heard since."""
         vm = next(vm for vm in self.fleet.vms if vm.server.service == "roster")
-        vm.beats.cancel()
+        vm.heartbeat_task.cancel()
         await self.restart(vm)
         return vm
 
@@ -244,7 +244,7 @@
         # After a rolling restart in an outage of the store, a VM refuses all callers until the store is back: a daemon
         # that has just started knows nobody, and nobody tells it.
         vm = self.fleet.vms[0]
-        self.fleet.store.trouble = "refuse"
+        self.fleet.store.fault = "refuse"
         self.fleet.signal(vm, signal.SIGTERM)
         await asyncio.to_thread(vm.process.wait, 5)
         self.fleet.start_daemon(vm)
@@ -252,11 +252,11 @@
         await self.all_known()
 
     async def test_an_outage_of_the_store_stops_nobody(self):
-        for trouble in ("silent", "lose", "refuse"):
-            self.fleet.store.trouble = trouble
+        for fault in ("silent", "lose", "refuse"):
+            self.fleet.store.fault = fault
             await asyncio.sleep(0.5)
-            self.assertEqual(200, (await Client(self.fleet.vms[0].callers).send(trouble, HOST, "/lookup/")).status)
-        self.fleet.store.trouble = None
+            self.assertEqual(200, (await Client(self.fleet.vms[0].callers).send(fault, HOST, "/lookup/")).status)
+        self.fleet.store.fault = None
         self.fleet.store.forget_history()
         self.fleet.store.put_configuration(configuration(2, routes(**spec("fresh", "log")), SERVICES))
         await asyncio.sleep(3)
@@ -272,7 +272,7 @@
         statuses = [(await Client(vm.callers).send(f"n-{number}", HOST, "/fresh/")).status for number, vm in enumerate(self.fleet.vms)]
         self.assertEqual([200] * len(self.fleet.vms), statuses)
 
-    async def test_what_is_no_heartbeat_names_no_server(self):
+    async def test_a_malformed_heartbeat_registers_no_server(self):
         vm = self.fleet.vms[0]
         self.assertEqual(400, await post(vm.reports, "/api/instances/i-x/heartbeat", b"\xff{"))
         self.assertEqual(404, await post(vm.reports, "/api/elsewhere", b"{}"))
--- a/test/processes/test_soak.py
+++ b/test/processes/test_soak.py
@@ -11,7 +11,7 @@
 
 from fleet import wire  # noqa: E402
 from fleet.client import Answer  # noqa: E402
-from fleet.record import Record, Sent  # noqa: E402
+from fleet.record import Attempt, Record  # noqa: E402
 from fleet.soak import Soak  # noqa: E402
 
 # Played in every run, each with its cause. Longer ones that once failed stand in test/soak-seeds.json (scripts/soak --known).
@@ -34,119 +34,119 @@
         self.record = Record(0.2, 2, 1.0)
         self.vm = vm_of()
 
-    def sends(self, name="n", method="GET", path="/read/n", route="read"):
-        self.record.sends(name, Sent(self.vm, route, path, method, b""))
+    def note_sent(self, name="n", method="GET", path="/read/n", route="read"):
+        self.record.note_sent(name, Attempt(self.vm, route, path, method, b""))
 
     def runs(self, name="n", asked=None):
         asked = asked or request()
         self.record.arrived(self.vm.server, name, asked)
         self.record.began(self.vm.server, name, asked)
 
-    def gets(self, status, name="n", fields=None, body=b"", more=False):
-        self.record.gets(name, Answer(name, status, fields or {}, body, 0.1), more, 5.0)
+    def note_outcome(self, status, name="n", fields=None, body=b"", has_more=False):
+        self.record.note_outcome(name, Answer(name, status, fields or {}, body, 0.1), has_more, 5.0)
 
-    def assert_broken(self, promise):
-        self.assertEqual([promise], [broken.split(":")[0] for broken in self.record.broken])
+    def assert_violated(self, invariant):
+        self.assertEqual([invariant], [violation.split(":")[0] for violation in self.record.violations])
 
     def test_what_goes_well_breaks_nothing(self):
-        self.sends()
+        self.note_sent()
         self.runs()
         self.record.answered(self.vm.server, "n", 200, b"x")
-        self.gets(200, fields={"x-request-id": "n", "x-server-stamp": "i-1.n"}, body=b"x")
+        self.note_outcome(200, fields={"x-request-id": "n", "x-server-stamp": "i-1.n"}, body=b"x")
         self.record.check_budget()
-        self.assertEqual([], self.record.broken)
+        self.assertEqual([], self.record.violations)
 
     def test_a_second_run_of_what_may_run_once_is_found(self):
-        self.sends(method="POST")
+        self.note_sent(method="POST")
         self.runs(asked=request("POST"))
         self.runs(asked=request("POST"))
-        self.assert_broken("TWICE")
+        self.assert_violated("TWICE")
 
     def test_a_refusal_of_what_ran_or_runs_later_is_found(self):
-        self.sends(method="POST")
+        self.note_sent(method="POST")
         self.runs(asked=request("POST"))
-        self.gets(503)
-        self.assert_broken("REFUSED")
-        self.record.broken.clear()
-        self.sends("m", method="POST")
-        self.gets(429, "m")
+        self.note_outcome(503)
+        self.assert_violated("REFUSED")
+        self.record.violations.clear()
+        self.note_sent("m", method="POST")
+        self.note_outcome(429, "m")
         self.runs("m", request("POST"))
-        self.assert_broken("REFUSED")
+        self.assert_violated("REFUSED")
 
     def test_an_answer_that_no_server_gave_is_found(self):
         for fields, body, status in (({"x-server-stamp": "i-1.n"}, b"y", 200), ({}, b"x", 200), ({"x-server-stamp": "i-1.n"}, b"x", 500),
                                      ({"x-server-stamp": "i-1.m"}, b"x", 200)):
             self.setUp()
-            self.sends()
+            self.note_sent()
             self.runs()
             self.record.answered(self.vm.server, "n", 200, b"x")
-            self.gets(status, fields=fields, body=body)
-            self.assert_broken("MIXED")
+            self.note_outcome(status, fields=fields, body=body)
+            self.assert_violated("MIXED")
 
     def test_bytes_that_nobody_asked_for_are_found(self):
-        self.sends()
-        self.gets(504, more=True)
-        self.assert_broken("MIXED")
+        self.note_sent()
+        self.note_outcome(504, has_more=True)
+        self.assert_violated("MIXED")
 
     def test_a_request_that_nobody_sent_or_that_was_changed_is_found(self):
         self.runs("unknown")
-        self.assert_broken("UNASKED")
+        self.assert_violated("UNASKED")
         for asked in (request("POST"), request(target="/read/m"), request(body=b"z"), request(caller="log")):
             self.setUp()
-            self.sends()
+            self.note_sent()
             self.runs(asked=asked)
-            self.assert_broken("UNASKED")
+            self.assert_violated("UNASKED")
 
     def test_an_arrival_after_the_leaving_is_found(self):
-        self.sends()
+        self.note_sent()
         self.record.left("i-1")
         self.record.leaving["i-1"] -= 1.1
         self.runs()
-        self.assert_broken("DRAIN")
+        self.assert_violated("DRAIN")
 
     def test_an_arrival_after_the_leaving_is_no_fault_while_the_link_to_the_server_may_have_held_it_up(self):
-        self.sends()
+        self.note_sent()
         self.record.left("i-1")
         self.record.leaving["i-1"] -= 1.1
-        self.record.harm(self.vm, 1.0)
+        self.record.note_link_fault(self.vm, 1.0)
         self.runs()
-        self.assertEqual([], self.record.broken)
-        self.record.harmed["vm-1"] = [(0.0, self.record.leaving["i-1"])]
-        self.sends("m")
+        self.assertEqual([], self.record.violations)
+        self.record.link_faults["vm-1"] = [(0.0, self.record.leaving["i-1"])]
+        self.note_sent("m")
         self.runs("m")
-        self.assert_broken("DRAIN")
+        self.assert_violated("DRAIN")
 
-    def test_a_connection_that_ends_under_a_request_is_found_unless_its_daemon_was_struck(self):
-        self.sends()
+    def test_a_lost_connection_is_found_unless_its_daemon_had_a_fault(self):
+        self.note_sent()
         self.runs()
-        self.gets(None)
-        self.assert_broken("LOST")
+        self.note_outcome(None)
+        self.assert_violated("LOST")
         self.setUp()
-        self.record.trouble(self.vm, 5.0)
-        self.sends()
+        self.record.note_daemon_fault(self.vm, 5.0)
+        self.note_sent()
         self.runs()
-        self.gets(None)
-        self.assertEqual([], self.record.broken)
+        self.note_outcome(None)
+        self.assertEqual([], self.record.violations)
 
     def test_a_refusal_of_what_is_allowed_is_found(self):
-        self.sends()
-        self.gets(400)
-        self.assert_broken("DENIED")
+        self.note_sent()
+        self.note_outcome(400)
+        self.assert_violated("DENIED")
 
     def test_more_repeats_than_the_bound_are_found_and_inner_calls_of_repeats_count(self):
         for number in range(4):
-            self.sends(f"n{number}", path="/read/n")
+            self.note_sent(f"n{number}", path="/read/n")
             self.runs(f"n{number}")
             self.runs(f"n{number}")
             self.record.called_inner(self.vm.server, f"n{number}.x", f"n{number}", "/read/n")
             self.record.arrived(vm_of("roster").server, f"n{number}.x", request())
         self.record.check_budget()
         # Four repeats, and two and four fifths are allowed; four inner calls of repeats, and two are.
-        self.assertEqual(2, sum(broken.startswith("BUDGET") for broken in self.record.broken))
+        self.assertEqual(2, sum(violation.startswith("BUDGET") for violation in self.record.violations))
 
 
 class ShortRun(unittest.TestCase):
-    def test_seeds_that_once_failed_and_a_first_one_keep_every_promise(self):
+    def test_known_seeds_violate_no_invariant(self):
         for seed, cause in SEEDS.items():
             result = asyncio.run(Soak(str(BUILD / "egretlatch"), seed, seconds=6.0, daemons=2, clients=8).play())
             self.assertEqual([], result["broken"], f"seed {seed} ({cause}):\n" + "\n".join(result["story"]))
--- a/test/processes/test_traces.py
+++ b/test/processes/test_traces.py
@@ -8,7 +8,7 @@
 
 from support import MeshTest, call
 
-PATIENCE = 60.0
+TIMEOUT = 60.0
 TRACE = "4bf92f3577b34da6a3ce929d0e0e4736"
 CALLER_SPAN = "00f067aa0ba902b7"
 
@@ -51,7 +51,7 @@
         status, _, _ = call(f"{entry}/call/flight-history/currency/", b"", {"traceparent": f"00-{TRACE}-{CALLER_SPAN}-01"})
         self.assertEqual(200, status)
         # entry, attempt, serving for the root, and the same for its one inner call
-        limit = time.monotonic() + PATIENCE
+        limit = time.monotonic() + TIMEOUT
         while len(self.spans_of_trace()) < 6 and time.monotonic() < limit:
             time.sleep(0.05)
         spans = self.spans_of_trace()
