--- a/scripts/experiments/__init__.py
+++ b/scripts/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""What scripts/experiment is made of: a deployment with its faults, the checks after a run, and the report."""
+"""Modules of scripts/experiment: the deployment and its faults, the checks after a run, and the report."""
--- a/scripts/experiments/charts.py
+++ b/scripts/experiments/charts.py
@@ -1,4 +1,4 @@
-"""Charts by second as inline SVG, without any library."""
+"""Charts by second as inline SVG, without a plotting library."""
 
 import dataclasses
 import html
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Marker:
-    """A vertical line with a word beside it."""
+    """Describes a vertical line with a label."""
 
     second: float
     text: str
@@ -22,15 +22,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Frame:
-    """What the charts of one report share."""
+    """Holds the settings that all charts of a report share."""
 
     seconds: int
     overload: tuple  # (from, to) in seconds, or None
-    label: str  # what stands in the overload's band
+    label: str  # text in the band that marks the overload
 
 
 def nice_ceiling(value):
-    """Give a round number not below a value."""
+    """Returns a round number not below a value."""
     if value <= 0:
         return 1
     power = 10 ** (len(str(int(value))) - 1)
@@ -38,12 +38,12 @@
 
 
 def colours_of(names):
-    """Give {name: colour}, the same for the same names."""
+    """Returns {name: colour}, the same for the same names."""
     return {name: COLOURS[index % len(COLOURS)] for index, name in enumerate(names)}
 
 
 class Chart:
-    """Places points by second and value."""
+    """Draws one chart of values by second."""
 
     def __init__(self, frame, height, maximum, title):
         self.frame, self.height, self.maximum = frame, height, maximum
@@ -73,7 +73,7 @@
             self.parts.append(f'<text x="{self.x(second):.1f}" y="{self.bottom() + 17}" class="axis" text-anchor="middle">{second} s</text>')
 
     def draw_areas(self, series, colours):
-        """Draw {name: values by second} on top of one another."""
+        """Draws {name: values by second} as stacked areas."""
         floor = [0.0] * self.frame.seconds
         for name, values in series.items():
             ceiling = [low + value for low, value in zip(floor, values)]
@@ -84,7 +84,7 @@
             floor = ceiling
 
     def draw_bars(self, series, colours):
-        """Draw {name: values by second} as bars on top of one another."""
+        """Draws {name: values by second} as stacked bars."""
         floor = [0.0] * self.frame.seconds
         width = (self.x(1) - self.x(0)) * 0.8
         for name, values in series.items():
@@ -112,6 +112,6 @@
 
 
 def legend(colours):
-    """Give a line of HTML with a swatch for each name."""
+    """Returns a line of HTML with a colour swatch for each name."""
     swatches = (f'<span><i style="background:{colour}"></i>{html.escape(name)}</span>' for name, colour in colours.items())
     return f'<p class="legend">{"".join(swatches)}</p>'
--- a/scripts/experiments/checks.py
+++ b/scripts/experiments/checks.py
@@ -1,6 +1,6 @@
-"""Checks of the invariants after a run, from the callers' history and from what each backend server says it ran.
+"""Checks the invariants after a run, from the callers' history and the executions that each backend server reports.
 
-They are counts, not a proof: a backend server that crashed takes the list of its runs with it.
+The checks are no proof: the list of runs of a crashed backend server is lost.
 """
 
 import collections
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Checks:
-    """How much was checked, and the violations with an example each."""
+    """Holds the number of keys and attempts checked, and the violations found."""
 
     keys: int
     attempts: int
@@ -25,7 +25,7 @@
 
 
 def repeatable_inner_keys(manifest):
-    """Give the endings of the keys of inner calls that may run twice, by the kind at the root."""
+    """Returns the step numbers of inner calls that may run twice, by the kind of the root."""
     kinds = {(service["name"], kind["name"]): kind for service in manifest["services"] for kind in service["kinds"]}
     endings = {}
     for (service, name), kind in kinds.items():
@@ -35,7 +35,7 @@
 
 
 def may_run_once_only(key, kind_of_key, repeatable):
-    """Tell whether a key may run once only: a root's, or that of an inner call of a kind that is not idempotent."""
+    """Returns whether a key may run only once: that of a root, or of a direct inner call whose kind is not idempotent."""
     if key in kind_of_key:
         return True
     root, *step = key.rsplit(".", 2)
@@ -44,10 +44,10 @@
 
 
 def check(manifest, history, executions, crashed, submissions=()):
-    """Check a run.
+    """Checks a run.
 
     history: the attempts in the order in which they ended; executions: what each backend server ran; crashed: whether
-    a backend server crashed or was killed, after which a completed request need not be on any list.
+    a backend server crashed or was killed, in which case a completed request may be missing from all lists.
     """
     runs = collections.Counter()
     for server in executions:
@@ -63,7 +63,7 @@
                 completed.add(key)
     repeatable = repeatable_inner_keys(manifest)
     run_twice = {key for key, count in runs.items() if count > 1 and may_run_once_only(key, kind_of_key, repeatable)}
-    # After a refusal a caller may go on under a new key; the request must not run under both.
+    # After a refusal a caller may retry with a new key; the request must not run under both.
     run_twice |= {name for name, keys in keys_of_request.items() if len(keys) > 1 and sum(runs[key] for key in keys) > 1}
     return Checks(
         keys=len(kind_of_key),
--- a/scripts/experiments/demo.py
+++ b/scripts/experiments/demo.py
@@ -1,4 +1,4 @@
-"""The run of scripts/demo: a short surge on the gliding union's deployment, and a table of what became of it."""
+"""Run of scripts/demo: a short surge on the gliding-union deployment, and a table of the outcomes."""
 
 import json
 import pathlib
@@ -15,17 +15,17 @@
 BUILD = ROOT / "build"
 LEAD_SECONDS = 0.5
 REASONS = {
-    "overload-at-entry": "a service down its chain refuses requests of this rank now",
-    "overload-at-server": "the backend server's daemon refuses requests of this rank now",
-    "overload-in-queue": "gave way to more important ones while it waited",
-    "deadline-passed": "its time ran out",
-    "retry-budget-spent": "its root has no attempts left",
-    "cancelled-by-caller": "its caller went away",
+    "overload-at-entry": "a service further down its call chain refuses requests of this rank",
+    "overload-at-server": "the backend server's daemon refuses requests of this rank",
+    "overload-in-queue": "displaced in the queue by requests of higher priority",
+    "deadline-passed": "its deadline passed",
+    "retry-budget-spent": "its root request has no attempts left",
+    "cancelled-by-caller": "its caller disconnected",
 }
 
 
 def run(folder):
-    """Give the result of the load tool, the checks and the manifest."""
+    """Returns the result of the load tool, the checks and the manifest."""
     scenario = json.loads(SCENARIO.read_text())
     deployment = Deployment(scenario, "adaptive", BUILD, folder)
     try:
@@ -43,7 +43,7 @@
 
 
 def reasons_of(kind):
-    """Give how many requests of a kind ended unanswered, by reason, most first."""
+    """Returns the number of requests of a kind that were not answered, by reason, most frequent first."""
     causes = {}
     for group in ("refused", "mayHaveRun", "failed"):
         for cause, count in kind[group].items():
@@ -75,7 +75,7 @@
 
 
 def main():
-    # The default ends the process at once and would leave the deployment running.
+    # The default handler ends the process at once and would leave the deployment running.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     scenario = json.loads(SCENARIO.read_text())
     print(scenario["story"])
--- a/scripts/experiments/deployment.py
+++ b/scripts/experiments/deployment.py
@@ -1,4 +1,4 @@
-"""A running deployment: scripts/mesh, the processes that it started, and those that were started in their place."""
+"""Runs a deployment: scripts/mesh, the processes that it started, and their replacements."""
 
 import json
 import os
@@ -18,7 +18,7 @@
 
 
 def fetch(url, body=None, timeout=2.0):
-    """Give the body of an answer, or None if there was none."""
+    """Returns the body of an answer, or None without one."""
     try:
         with urllib.request.urlopen(urllib.request.Request(url, data=body), timeout=timeout) as answer:
             return answer.read()
@@ -27,12 +27,12 @@
 
 
 def command_of(pid):
-    """Give the command line of a process."""
+    """Returns the command line of a process."""
     return pathlib.Path(f"/proc/{pid}/cmdline").read_bytes().rstrip(b"\0").decode().split("\0")
 
 
 def is_running(pid):
-    """Tell whether a process exists and has not ended; one that its parent has yet to wait for has ended."""
+    """Returns whether a process is running; a zombie is not."""
     try:
         return pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()[0] not in "ZX"
     except FileNotFoundError:
@@ -40,7 +40,7 @@
 
 
 class Deployment:
-    """Starts scripts/mesh and does to its processes what a scenario asks for."""
+    """Starts scripts/mesh and applies the faults of a scenario to its processes."""
 
     def __init__(self, scenario, policy, build, logs):
         self.scenario = scenario
@@ -75,7 +75,7 @@
         self.watcher.start()
 
     def select_servers(self, fault):
-        """Give the (service, number) of the servers that a fault is for."""
+        """Returns the (service, number) of the servers that a fault applies to."""
         wanted = fault.get("server", -1)
         return [name for name in self.servers if name[0] == fault.get("service") and wanted in (-1, name[1])]
 
@@ -92,7 +92,7 @@
             self.restore_behaviour(name)
 
     def restore_behaviour(self, name):
-        """Tell a new backend server how its predecessor behaved."""
+        """Applies the injected behaviour of a backend server to its replacement."""
         behaviour = self.behaviours.get(name)
         for _ in range(40 if behaviour else 0):
             if fetch(f"http://127.0.0.1:{self.servers[name]['backend']}/control", json.dumps(behaviour).encode()) is not None:
@@ -100,7 +100,7 @@
             time.sleep(0.02)
 
     def watch(self):
-        """Start crashed backend servers again after a second, as their operators do."""
+        """Restarts crashed backend servers after a second, as their operators do."""
         while not self.stopping.wait(WATCH_SECONDS):
             for name, server in self.servers.items():
                 if name not in self.expected_down and not is_running(server["backendPid"]):
@@ -112,7 +112,7 @@
         self.events.append({"atMs": time.time() * 1000, "text": text})
 
     def collect(self, name):
-        """Keep what a backend server ran before it goes."""
+        """Saves the executions of a backend server before it exits."""
         answer = fetch(f"http://127.0.0.1:{self.servers[name]['backend']}/executions")
         if answer is not None:
             self.executions.append({"service": name[0], "server": name[1], "runs": json.loads(answer)})
@@ -129,7 +129,7 @@
             os.kill(pid, signal.SIGKILL)
 
     def replace(self, name):
-        """Replace a VM: its daemon drains and exits, its backend server follows, and both start anew."""
+        """Replaces a VM: its daemon drains and exits, its backend server follows, and both are started again."""
         server = self.servers[name]
         self.expected_down.add(name)
         self.send_signal(name, "daemon", signal.SIGTERM)
@@ -143,7 +143,7 @@
         self.expected_down.discard(name)
 
     def apply(self, fault):
-        """Do one step of a scenario; `control` steps are posted by the load tool."""
+        """Applies one fault of a scenario; `control` faults are sent by the load tool."""
         action, what = fault["do"], fault.get("process", "backend")
         if action == "submit":
             race = operators.race(self.build, self.mesh, fault.get("operators", 1), pathlib.Path(self.logs))
@@ -174,7 +174,7 @@
                 self.replace(name)
 
     def run_faults(self, start):
-        """Do all steps at their times, counted from `start`, a calendar time in seconds; `replace` steps may overlap."""
+        """Applies all faults at their times, counted from `start`, a Unix time in seconds; `replace` faults may overlap."""
         threads = []
         for fault in sorted(self.scenario.get("faults", []), key=lambda step: step["atMs"]):
             if self.stopping.wait(max(0.0, start + fault["atMs"] / 1000 - time.time())):
@@ -185,7 +185,7 @@
             thread.join()
 
     def stop(self):
-        """Collect what ran, and end every process that this deployment started."""
+        """Collects the executions, and stops every process that this deployment started."""
         self.stopping.set()
         self.watcher.join()
         for name, what in list(self.paused):
--- a/scripts/experiments/operators.py
+++ b/scripts/experiments/operators.py
@@ -1,4 +1,4 @@
-"""Operators who submit at the same time, and whether one of them alone was accepted and his configuration came into force."""
+"""Concurrent submissions by several operators, and the check that only one is accepted and comes into force."""
 
 import concurrent.futures
 import dataclasses
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Race:
-    """What came of operators who started from the same version."""
+    """Holds the outcome of concurrent submissions that started from the same version."""
 
     operators: int
     accepted: int
@@ -29,11 +29,11 @@
     def text(self):
         in_force = "not in force everywhere" if self.in_force_seconds is None else f"in force everywhere after {self.in_force_seconds:.1f} s"
         unsure = self.operators - self.accepted - self.conflicts
-        return f"{self.operators} operators: {self.accepted} accepted, {self.conflicts} told the winner, {unsure} unsure; {in_force}"
+        return f"{self.operators} operators: {self.accepted} accepted, {self.conflicts} conflicts, {unsure} without a result; {in_force}"
 
 
 def configurations(mesh):
-    """Give the configuration that each daemon which answers has in force."""
+    """Returns the configuration in force at each daemon that answers."""
     found = []
     for urls in mesh["entries"].values():
         for url in urls:
@@ -53,7 +53,7 @@
 
 
 def wait_until_in_force(mesh, version):
-    """Give the time at which a version is in force at each daemon that answers, or None."""
+    """Returns the time at which a version is in force at each daemon that answers, or None."""
     deadline = time.monotonic() + SUBMIT_SECONDS + IN_FORCE_SECONDS
     while time.monotonic() < deadline:
         if all(configuration["version"] >= version for configuration in configurations(mesh)):
@@ -63,7 +63,7 @@
 
 
 def seconds_after(accepted_at, in_force_at):
-    """Give the time from the acceptance until a version was in force, if that was within the bound."""
+    """Returns the seconds from the acceptance until a version was in force, or None beyond the bound."""
     if accepted_at is None or in_force_at is None:
         return None
     seconds = max(0.0, in_force_at - accepted_at)
@@ -71,7 +71,7 @@
 
 
 def race(build, mesh, operators, folder):
-    """Have operators submit at the same time from the newest version, each a manifest with a text of its own."""
+    """Submits as several operators at once, from the newest version, each with a distinct manifest text."""
     base = max(configuration["version"] for configuration in configurations(mesh))
     text = pathlib.Path(mesh["manifest"]).read_text()
     paths = []
--- a/scripts/experiments/possible.py
+++ b/scripts/experiments/possible.py
@@ -1,10 +1,10 @@
-"""Possible weighted goodput: what a deployment could earn at most from the requests that it was offered.
+"""Possible weighted goodput: an upper bound on the worth that a deployment can earn from the offered requests.
 
-A run of a kind holds a slot of its backend server for its own cost and for as long as its inner calls run. So one
-request of a kind needs, at each service that its call graph reaches, a time of slots; a service has servers x slots
-seconds of slots a second. The kinds are served greedily by worth per bottleneck cost, which is the largest part of a
-service's slots that one request a second takes. Greedy is the optimum for one bottleneck and within a few per cent of
-it for several; waits, hops and processor time count as nothing, so the figure is a ceiling that no policy reaches.
+A run of a kind holds a slot of its backend server for its own cost and the duration of its inner calls. So one request
+of a kind needs slot time at each service that its call graph reaches; a service has servers x slots seconds of slot time
+per second. The kinds are served greedily by worth per bottleneck cost, which is the largest part of a
+service's slots that one request per second takes. Greedy is optimal for one bottleneck and within a few per cent of the
+optimum for several; waits, hops and processor time are ignored, so the figure is a ceiling that no policy reaches.
 """
 
 import dataclasses
@@ -12,27 +12,27 @@
 
 @dataclasses.dataclass(frozen=True)
 class Service:
-    """A service as far as capacity goes."""
+    """Describes the capacity of a service."""
 
-    servers: float  # those that take work
+    servers: float  # servers that accept work
     slots: int
     slowdown: float  # factor on the cost of its kinds
 
 
 def kinds_of(manifest):
-    """Give {(service, kind): declaration} of a manifest."""
+    """Returns {(service, kind): declaration} of a manifest."""
     return {(service["name"], kind["name"]): kind for service in manifest["services"] for kind in service["kinds"]}
 
 
 def hold_seconds(kinds, services, name):
-    """Give the time that one run of a kind holds its slot: its cost and its inner calls, one after the other."""
+    """Returns the seconds that one run of a kind holds its slot: its cost and its inner calls in sequence."""
     kind = kinds[name]
     inner = sum(call.get("count", 1) * hold_seconds(kinds, services, (call["service"], call["kind"])) for call in kind.get("calls", []))
     return kind.get("costMs", 10) / 1000 * services[name[0]].slowdown + inner
 
 
 def slot_seconds(kinds, services, name):
-    """Give {service: seconds of slots} that one request of a kind takes over its whole call graph."""
+    """Returns {service: seconds of slot time} that one request of a kind takes over its call graph."""
     needed = {name[0]: hold_seconds(kinds, services, name)}
     for call in kinds[name].get("calls", []):
         for service, seconds in slot_seconds(kinds, services, (call["service"], call["kind"])).items():
@@ -41,7 +41,7 @@
 
 
 def possible_worth(kinds, services, offered):
-    """Give the worth a second that `offered`, {(service, kind): requests a second}, can earn at most."""
+    """Returns the maximum worth per second of `offered`, {(service, kind): requests per second}."""
     free = {name: service.servers * service.slots for name, service in services.items()}
     total = dict(free)
     costs = {name: slot_seconds(kinds, services, name) for name in offered}
@@ -60,7 +60,7 @@
 
 
 def utilization(kinds, services, offered):
-    """Give {service: part of its slots} that `offered` takes where nothing is refused."""
+    """Returns {service: share of its slots} that `offered` takes if nothing is refused."""
     used = {name: 0.0 for name in services}
     for name, rate in offered.items():
         for service, seconds in slot_seconds(kinds, services, name).items():
@@ -69,7 +69,7 @@
 
 
 def _state_at(scenario, second):
-    """Give {(service, server): slowdown, or None for a server that takes no work} at the start of a second."""
+    """Returns {(service, server): slowdown, or None for a server that accepts no work} at the start of a second."""
     states = {}
     for fault in sorted(scenario.get("faults", []), key=lambda fault: fault["atMs"]):
         if fault["atMs"] > second * 1000:
@@ -87,21 +87,21 @@
 
 
 def services_at(scenario, manifest, second):
-    """Give {service: Service} in a second of a scenario, with its slow, paused and killed servers."""
+    """Returns {service: Service} in a second of a scenario, accounting for slow, paused and killed servers."""
     states = _state_at(scenario, second)
     services = {}
     for declared in manifest["services"]:
         name = declared["name"]
         slowdowns = [states.get((name, server), 1.0) for server in range(scenario.get("servers", 2))]
         working = [slowdown for slowdown in slowdowns if slowdown is not None]
-        # Work spread in proportion to speed: the harmonic mean.
+        # Work is spread in proportion to speed, hence the harmonic mean.
         mean = len(working) / sum(1 / slowdown for slowdown in working) if working else 1.0
         services[name] = Service(len(working), scenario.get("slots") or declared["slots"], mean)
     return services
 
 
 def offered_at(scenario, second):
-    """Give {(service, kind): new requests a second} in a second of a scenario."""
+    """Returns {(service, kind): new requests per second} in a second of a scenario."""
     rate = 0
     for phase in scenario["phases"]:
         if second < phase["seconds"]:
@@ -113,7 +113,7 @@
 
 
 def possible_by_second(scenario, manifest):
-    """Give the possible weighted goodput of each second of a scenario."""
+    """Returns the possible weighted goodput of each second of a scenario."""
     kinds = kinds_of(manifest)
     seconds = sum(phase["seconds"] for phase in scenario["phases"])
     return [possible_worth(kinds, services_at(scenario, manifest, second), offered_at(scenario, second)) for second in range(seconds)]
--- a/scripts/experiments/report.py
+++ b/scripts/experiments/report.py
@@ -1,4 +1,4 @@
-"""The report of an experiment: one HTML page that is looked at first and read second."""
+"""Renders the report of an experiment as one HTML page, with charts before tables."""
 
 import dataclasses
 import html
@@ -36,18 +36,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """One run of a scenario with one policy and one seed."""
+    """Holds one run of a scenario with one policy and one seed."""
 
     policy: str
     seed: int
-    result: dict  # what the load tool wrote
+    result: dict  # result of the load tool
     checks: object  # checks.Checks
-    events: list  # what happened to processes: {"atMs", "text"}
+    events: list  # process events: {"atMs", "text"}
 
 
 @dataclasses.dataclass(frozen=True)
 class Experiment:
-    """All runs of a scenario."""
+    """Holds all runs of a scenario."""
 
     scenario: dict
     runs: list
@@ -56,17 +56,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Figures:
-    """The numbers by which runs are compared."""
+    """Holds the figures by which runs are compared."""
 
-    goodput: float  # worth a second over the whole run
-    share: float  # of the possible weighted goodput, over the whole run
+    goodput: float  # worth per second over the whole run
+    share: float  # share of the possible weighted goodput over the whole run
     overload_share: float  # the same over the overload alone
     recovery: float  # seconds; None if not within the run
     violations: int
 
 
 def overload_of(run):
-    """Give (from, to) of the declared overload, or None."""
+    """Returns (from, to) of the declared overload, in seconds, or None."""
     recovery = run.result["recovery"]
     return (recovery["fromSecond"], recovery["toSecond"]) if recovery["toSecond"] > recovery["fromSecond"] else None
 
@@ -76,7 +76,7 @@
 
 
 def figures_of(run, ceiling):
-    """Give the figures of a run; `ceiling` is the possible weighted goodput by second."""
+    """Returns the figures of a run; `ceiling` is the possible weighted goodput by second."""
     earned = run.result["bySecond"]["worth"]
     span = slice(*(overload_of(run) or (0, None)))
     return Figures(
@@ -99,7 +99,7 @@
 
 
 def spread(values):
-    """Give the mean, and the least and the most if there are several values."""
+    """Returns the mean as text, with minimum and maximum if there are several values."""
     text = f"{statistics.mean(values):.1f}"
     return text if len(values) == 1 else f"{text} <span class=small>({min(values):.1f} to {max(values):.1f})</span>"
 
@@ -113,7 +113,7 @@
 
 
 def summary_rows(runs, ceiling):
-    """Give the cells of the table of policies, in the order of their first run."""
+    """Returns the rows of the table of policies, in the order of their first run."""
     rows = []
     for policy in dict.fromkeys(run.policy for run in runs):
         own = [run for run in runs if run.policy == policy]
@@ -127,7 +127,7 @@
     return rows
 
 
-SUMMARY_HEAD = ["policy", "runs", "worth/s", "% of possible", "% in overload", "recovery", "attempts a request", "violations"]
+SUMMARY_HEAD = ["policy", "runs", "worth/s", "% of possible", "% in overload", "recovery", "attempts per request", "violations"]
 
 
 def tile(value, text, good=None):
@@ -153,7 +153,7 @@
 
 def goodput_chart(run, ceiling, most, colours):
     result = run.result
-    chart = charts.Chart(frame_of(run), GOODPUT_HEIGHT, most, "weighted goodput, worth a second")
+    chart = charts.Chart(frame_of(run), GOODPUT_HEIGHT, most, "weighted goodput, worth per second")
     chart.draw_areas(worth_by_kind(result), colours)
     chart.draw_line(offered_by_second(result), "offered")
     chart.draw_line(ceiling, "possible")
@@ -167,7 +167,7 @@
 
 
 def worth_by_kind(result):
-    """Give {kind: worth by second} of the kinds that earn any."""
+    """Returns {kind: worth by second} for the kinds that have worth."""
     return {name: [count * kind["worthOfOne"] for count in kind["completedBySecond"]]
             for name, kind in sorted(result["kinds"].items()) if kind["worthOfOne"] > 0}
 
@@ -183,10 +183,10 @@
     result = run.result
     causes = {name: values for name, values in sorted(result["bySecond"]["causes"].items()) if any(values)}
     if not causes:
-        return "<p class=small>Every attempt was answered whole.</p>"
+        return "<p class=small>Every attempt completed.</p>"
     most = charts.nice_ceiling(max(sum(values) for values in zip(*causes.values())))
     colours = charts.colours_of(causes)
-    title = "attempts a second that did not complete, by reason"
+    title = "attempts per second that did not complete, by reason"
     chart = charts.Chart(frame_of(run), REFUSAL_HEIGHT, most, title)
     chart.draw_bars(causes, colours)
     return chart.to_svg() + charts.legend(colours)
@@ -210,24 +210,24 @@
             f"{refusal_chart(run)}{table(KIND_HEAD, kind_rows(run.result))}</section>")
 
 
-DEFINITIONS = """<section><h2>What the numbers mean</h2><p class=small>
-Weighted goodput: worth of the requests whose whole answer came back in a second; inner calls and resends earn nothing.
-Possible: what the slots could earn at most from what was offered (scripts/experiments/possible.py says how); no policy
-reaches it. Recovery: time from the end of the overload to the first second from which weighted goodput stays at 95 % of
+DEFINITIONS = """<section><h2>Definitions</h2><p class=small>
+Weighted goodput: worth of the requests that completed in each second; inner calls and resends earn nothing.
+Possible: the most worth that the slots could earn from the offered requests (see scripts/experiments/possible.py); no
+policy reaches it. Recovery: time from the end of the overload to the first second from which weighted goodput stays at 95 % of
 the level before, or above, for three seconds. Violations: answers that belong to another request, keys of requests that
 are not idempotent run twice, keys run whose last answer said not-run, and completed keys that no backend server ran.
-docs/LOAD.md has the rest.</p></section>"""
+See docs/LOAD.md for details.</p></section>"""
 
 
 def to_html(scenario, manifest, runs):
-    """Write the report; the first run of each policy is drawn, all are in the table."""
+    """Returns the report; the first run of each policy is charted, all are in the table."""
     ceiling = possible.possible_by_second(scenario, manifest)
     first = list({run.policy: run for run in reversed(runs)}.values())[::-1]
     most = charts.nice_ceiling(1.2 * max(max(ceiling), max(max(run.result["bySecond"]["worth"]) for run in runs)))
     colours = charts.colours_of(sorted(name for name, kind in first[0].result["kinds"].items() if kind["worthOfOne"] > 0))
     phases = ", ".join(f"{phase['name']} {phase['seconds']} s at {phase['rate']}/s" for phase in scenario["phases"])
     body = (f"<h1>{html.escape(scenario['name'])}</h1><p>{html.escape(scenario.get('story', ''))}</p>"
-            f"<p class=small>{html.escape(scenario['deployment'])}, {scenario.get('servers', 2)} backend servers a service; {phases}</p>"
+            f"<p class=small>{html.escape(scenario['deployment'])}, {scenario.get('servers', 2)} backend servers per service; {phases}</p>"
             f"<section><h2>Policies</h2>{table(SUMMARY_HEAD, summary_rows(runs, ceiling))}</section>"
             + "".join(run_section(run, ceiling, most, colours) for run in first) + DEFINITIONS)
     return page(scenario["name"], body)
@@ -238,7 +238,7 @@
 
 
 def to_index(experiments):
-    """Write the table of several experiments."""
+    """Returns the page that compares several experiments."""
     rows = []
     for experiment in experiments:
         name = html.escape(experiment.scenario["name"])
--- a/standin/fleet/__init__.py
+++ b/standin/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the users' platform: its store, its servers and their clients, around real daemons on loopback."""
+"""Stand-ins for the platform (its store, its servers and their clients) around real daemons on loopback."""
--- a/standin/fleet/client.py
+++ b/standin/fleet/client.py
@@ -1,4 +1,4 @@
-"""Clients: one request at a time or several on one connection, and a record of how each ended."""
+"""HTTP clients that send one request at a time or pipeline several on a connection, and the outcome of each."""
 
 import asyncio
 import time
@@ -7,7 +7,7 @@
 
 
 class Answer:
-    """How one client attempt ended: the status (None for no answer), the fields, the body and the seconds it took."""
+    """Holds the outcome of one client attempt: status (None for no answer), header fields, body and duration in seconds."""
 
     def __init__(self, name, status, fields, body, seconds):
         self.name = name
@@ -18,13 +18,13 @@
 
 
 def request_bytes(name, host, path, method="GET", body=b"", timeout=5.0, fields=None):
-    """Gives the bytes of a request that says how many seconds its caller waits."""
+    """Returns the bytes of a request whose deadline header states `timeout`, in seconds."""
     head = {"Host": host, "X-Request-Id": name, "X-Deadline-Ms": int(timeout * 1000), **(fields or {})}
     return wire.encode(f"{method} {path} HTTP/1.1", head, body)
 
 
 class Pipeline:
-    """Sends requests on one connection without waiting for answers; each answer is one request's, in their order."""
+    """Pipelines requests on one connection; answers arrive in the order of the requests."""
 
     def __init__(self, outbound):
         self.host, self.port = outbound.split(":")
@@ -32,7 +32,7 @@
         self.writer = None
 
     async def send(self, requests):
-        """Sends requests, each the arguments of request_bytes(), in one go; opens the connection for the first."""
+        """Writes several requests at once, each the arguments of request_bytes(); connects on first use."""
         if self.writer is None:
             self.reader, self.writer = await asyncio.open_connection(self.host, int(self.port))
         self.names += [arguments[0] for arguments in requests]
@@ -40,7 +40,7 @@
         self.writer.write(b"".join(request_bytes(*arguments) for arguments in requests))
 
     async def receive(self, timeout=5.0):
-        """Gives the answers until each request has one or the connection ends."""
+        """Returns the answers, until each request has one, the connection ends or no answer comes within `timeout` seconds."""
         answers = []
         while self.names:
             try:
@@ -59,7 +59,7 @@
 
 
 class Client:
-    """Keeps one connection to a daemon and opens a new one where the daemon closed it."""
+    """Keeps one connection to a daemon open and reconnects after the daemon closed it."""
 
     def __init__(self, outbound):
         self.host, self.port = outbound.split(":")
@@ -67,7 +67,7 @@
         self.writer = None
 
     async def send(self, name, host, path, method="GET", body=b"", timeout=5.0, fields=None, disconnect_after=None):
-        """Sends a request and waits for its answer; `leaves` is when the client goes without it, before its timeout ends."""
+        """Sends a request and waits for its answer; `disconnect_after` (seconds) closes the connection before the timeout."""
         began = time.monotonic()
         try:
             if self.writer is None:
@@ -84,8 +84,8 @@
         return Answer(name, answer.status, answer.fields, answer.body, seconds)
 
     def has_more(self):
-        """Tells whether bytes have come that no request asked for."""
-        return self.writer is not None and bool(self.reader._buffer)  # noqa: SLF001: asyncio has no call that looks without reading
+        """Returns whether bytes arrived that belong to no request."""
+        return self.writer is not None and bool(self.reader._buffer)  # noqa: SLF001: asyncio has no call that peeks without reading
 
     def close(self):
         if self.writer is not None:
--- a/standin/fleet/day.py
+++ b/standin/fleet/day.py
@@ -1,4 +1,4 @@
-"""A day of the platform's stand-in: load, faults and counts around real daemons, from a file of our own (deploy/days/)."""
+"""Plays a day file of deploy/days/ (load and faults) against real daemons, and counts the outcomes."""
 
 import asyncio
 import collections
@@ -18,7 +18,7 @@
 
 
 class Tally:
-    """What became of the requests of one route."""
+    """Counts the outcomes of the requests of one route."""
 
     def __init__(self):
         self.sent = 0
@@ -36,7 +36,7 @@
 
 
 class Day:
-    """Plays one day; `policy` replaces the daemons' own, so that a decision can be compared with a baseline."""
+    """Plays one day; `policy` overrides the daemons' default, to compare it with a baseline."""
 
     def __init__(self, binary, path, policy=None, seed=1):
         self.plan = json.loads(pathlib.Path(path).read_text())
@@ -71,7 +71,7 @@
             return self.result(self.processor_seconds() - before)
 
     async def load(self, load):
-        """Sends requests of one route at random times, each on its own, whatever became of those before."""
+        """Sends requests of one route open-loop, with exponential intervals, regardless of earlier outcomes."""
         end = time.monotonic() + self.plan["seconds"]
         sent = []
         while time.monotonic() < end:
@@ -80,7 +80,7 @@
         await asyncio.gather(*sent)
 
     async def request(self, load):
-        """One request with its client's retries, as clients of the platform make them."""
+        """Sends one request with the retries that clients of the platform make."""
         name = load["route"]
         spec = self.plan["routes"][name]
         tally = self.tallies[name]
@@ -118,7 +118,7 @@
         return answer
 
     async def inject(self, event):
-        """Does one event of the plan, and ends it after its time."""
+        """Applies one event of the plan and reverts it after its duration."""
         await asyncio.sleep(event["at"])
         do = event["do"]
         if do == "load":
@@ -135,7 +135,7 @@
                 self.fleet.signal(vm, signal.SIGKILL)
                 vm.process.wait()
         else:
-            raise ValueError(f"no event {do}: load, store, fault or kill")
+            raise ValueError(f"unknown event {do}: expected load, store, fault or kill")
         await asyncio.sleep(event.get("seconds", 1))
         if do == "load":
             self.factor = 1.0
@@ -167,7 +167,7 @@
             "routes": {name: self.tallies[name].document() for name in sorted(self.tallies)},
             "arrivals": arrivals,
             "rejected": {name: sum(server.rejected for server in self.fleet.servers(name)) for name in self.services},
-            # Must be empty, whatever the day: requests that may run once and ran more often.
+            # Requests that are not idempotent and ran more than once; must be empty on every day.
             "ranTwice": [name for name in self.unsafe if runs[name] > 1],
             "processorMsAnArrival": round(processor_seconds * 1000 / max(1, sum(arrivals.values())), 3),
         }
--- a/standin/fleet/fleet.py
+++ b/standin/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A whole deployment on loopback: the store, and on each VM a server with a real daemon beside it."""
+"""Runs a deployment on loopback: the store, and for each VM a server and a real daemon."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 
 def configuration(version, routes, services, limits=None):
-    """Gives an operators' document; `routes` are specs by name."""
+    """Returns a configuration document as operators write it; `routes` maps names to specs."""
     resources = [{"resource_type": "routes", "metadata": {"name": name}, "spec": spec} for name, spec in routes.items()]
     resources += [{"resource_type": "services", "metadata": {"name": name},
                    "spec": {"health_path": "/health", "max_connections": 300, "protocol": "h1", "tls": False}} for name in services]
@@ -25,14 +25,14 @@
 
 
 def route(host, service, kind="idempotent", priority=1, timeout=1200, target=800, attempts=2, weighted=None):
-    """Gives the spec of a route; its prefix is its first word."""
+    """Returns the spec of a route without its prefix, which the caller adds."""
     spec = {"host": host, "kind": kind, "timeout": f"{timeout}ms", "target_latency": f"{target}ms", "priority": priority, "max_attempts": attempts}
     spec.update({"weighted_services": weighted} if weighted else {"service": service})
     return spec
 
 
 class Vm:
-    """One VM: the daemon's settings and process, and its server."""
+    """Holds the settings and process of one VM's daemon, and its server."""
 
     def __init__(self, name, zone, server, ports, folder):
         self.name = name
@@ -51,7 +51,7 @@
 
 
 class Fleet:
-    """Starts and stops everything; `services` maps a service to (servers, slots, queue) and `kinds` a kind to its work."""
+    """Starts and stops all processes; `services` maps a service to (servers, slots, queue) and `kinds` a kind to its work."""
 
     def __init__(self, binary, services, kinds, heartbeat=0.3, bounds=None, settings=None, seed=1):
         self.binary = binary
@@ -86,7 +86,7 @@
         self.folder.cleanup()
 
     async def prepare(self, vm):
-        """Done for each VM before its daemon starts; a fleet whose links can fail puts them in place here."""
+        """Hook that runs for each VM before its daemon starts; a fleet with faulty links installs them here."""
 
     async def add_vm(self, service, number, slots, queue):
         ports = free_ports(PORTS_PER_VM)
@@ -115,7 +115,7 @@
             await asyncio.sleep(self.heartbeat)
 
     async def ready(self, seconds=10):
-        """Waits until each daemon says that it is ready; one that has ended never is, whoever answers at its address."""
+        """Waits until each daemon reports ready; false once a daemon has exited, even if another process answers at its address."""
         for _ in range(int(seconds / 0.1)):
             if any(vm.process.poll() is not None for vm in self.vms):
                 return False
@@ -135,5 +135,5 @@
         return [vm.server for vm in self.vms if vm.server.service == service]
 
     def runs(self, name):
-        """How often a request ran, over all servers."""
+        """Counts the runs of a request over all servers."""
         return sum(vm.server.runs[name] for vm in self.vms)
--- a/standin/fleet/link.py
+++ b/standin/fleet/link.py
@@ -1,13 +1,13 @@
-"""A link that can fail: everything between two parties goes through it, over loopback."""
+"""TCP proxy on loopback that injects network faults between two processes."""
 
 import asyncio
 
 
 class Link:
-    """Passes connections to `target` on, and misbehaves on demand.
+    """Forwards connections to `target` and injects faults on demand.
 
-    `delay` holds each piece back for so many seconds; `blocked` names the ways that pass nothing: "there", "back" or both;
-    `refuses` resets each new connection. What has been held back by a direction that is mute is passed on once it is not.
+    `delay` holds back each chunk by that many seconds; `blocked` names the directions that forward nothing: "there", "back"
+    or both; `refuses` resets each new connection. Data held back by a blocked direction is forwarded once it is unblocked.
     """
 
     def __init__(self, port, target):
@@ -36,7 +36,7 @@
             writer.transport.abort()
 
     def silence(self):
-        """Leaves all open connections open and passes nothing on them any more; new ones work."""
+        """Stops forwarding on all open connections without closing them; new ones work."""
         for writer in self.connections:
             writer.is_silent = True
 
@@ -76,7 +76,7 @@
             while direction in self.blocked:
                 await asyncio.sleep(0.02)
             if writer.is_silent:
-                # Read on, so that the sender sees nothing but silence.
+                # Keeps reading, so that the sender's writes succeed and it sees only silence.
                 continue
             writer.write(data)
             await writer.drain()
--- a/standin/fleet/ports.py
+++ b/standin/fleet/ports.py
@@ -1,20 +1,20 @@
-"""Ports for processes that are started later, given to nobody else until then."""
+"""Reserves ports for processes that start later."""
 
 import random
 import socket
 
-# Ports are given from blocks. A daemon takes its ports some time after they were chosen, so until then they look free, and
-# another VM, or a fleet of another process, would get one of them again: the later of the two daemons cannot listen and
-# never joins. So no port is given twice, and whoever gives from a block holds its first port as long as it lives.
+# Ports are allocated from blocks. A daemon binds its ports some time after they were chosen; until then they look free, and
+# another VM, or the fleet of another process, could be given the same one: the later daemon cannot listen and never joins.
+# So no port is allocated twice, and the process that owns a block keeps its first port bound until the process exits.
 BLOCK = 32
 _claims = []
 _unused = []
 
 
 def claim_block():
-    """Takes a block of ports that no other process gives from, below those of outgoing connections.
+    """Claims a block of ports that no other process allocates from, below the range of outgoing connections.
 
-    A port of that range may be taken by a connection between its choice here and the daemon that is to listen on it.
+    A port of that range could be taken by a connection after it was chosen here and before the daemon listens on it.
     """
     while True:
         first = random.randrange(10000, 32000, BLOCK)
@@ -30,7 +30,7 @@
 
 
 def free_ports(count):
-    """Gives ports that nobody listens on and that were not given before."""
+    """Returns `count` ports that nothing listens on and that were not returned before."""
     ports = []
     while len(ports) < count:
         if not _unused:
--- a/standin/fleet/processor.py
+++ b/standin/fleet/processor.py
@@ -1,4 +1,4 @@
-"""Processor time of processes, as the kernel counts it."""
+"""Processor time of processes, from the kernel's accounting."""
 
 import os
 import pathlib
@@ -7,7 +7,7 @@
 
 
 def processor_seconds(pid):
-    """Gives user and system time of a process, all of its threads, in seconds."""
-    # The name of the program, in brackets, may hold blanks.
+    """Returns the user and system time of all threads of a process, in seconds."""
+    # The program name, in parentheses, may contain spaces.
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
--- a/standin/fleet/record.py
+++ b/standin/fleet/record.py
@@ -1,4 +1,4 @@
-"""What clients sent and got and what servers saw, and the promises that hold between the two."""
+"""Records what clients and servers observe, and checks the invariants between the two."""
 
 import bisect
 import collections
@@ -9,16 +9,16 @@
 
 NOT_RUN = (408, 421, 429, 503)
 CLIENT_ERRORS = range(300, 500)
-# Seconds. Past a route's timeout an answer is counted as missing only after this long: the machine that plays a soak is
-# busy, and a promise that no daemon keeps is what is looked for, not a slow one.
+# Seconds past a route's timeout after which an answer counts as missing. The machine that runs a soak is busy, and the
+# check looks for answers that never come, not for slow ones.
 ANSWER_MARGIN = 4.0
 BUDGET_WINDOW = 10.0
-# Seconds after a link to a server was harmed in which what arrives may have been held up by it (the pages' stability window).
+# Seconds after a fault of the link to a server in which arrivals may still be delayed by it (the documented stability window).
 LINK_FAULT_DELAY = 3.0
 
 
 class Attempt:
-    """One client attempt."""
+    """Describes one client attempt."""
 
     def __init__(self, vm, route, path, method, body):
         self.vm = vm
@@ -26,7 +26,7 @@
         self.path = path
         self.method = method
         self.body = body
-        # The daemon may be another process by the time of the answer.
+        # The daemon may have been restarted by the time of the answer.
         self.daemon_incarnation = (vm.name, vm.process.pid)
         self.began = time.monotonic()
         self.ended = None
@@ -34,7 +34,7 @@
 
 
 class Arrival:
-    """One arrival at a server."""
+    """Describes one arrival at a server."""
 
     def __init__(self, server, name, is_repeat):
         self.at = time.monotonic()
@@ -44,7 +44,7 @@
 
 
 class Record(Observer):
-    """Collects what happens, and gives what broke a promise as sentences."""
+    """Collects events from clients and servers, and reports violated invariants as text."""
 
     def __init__(self, ratio, slack, drain):
         self.ratio = ratio
@@ -66,7 +66,7 @@
     def report_violation(self, invariant, text):
         self.violations.append(f"{invariant}: {text}")
 
-    # What servers see.
+    # Events at servers.
 
     def arrived(self, server, name, request):
         parent = self.called.get(name, (None, None, None))[0]
@@ -76,7 +76,7 @@
         acknowledged = self.leaving.get(server.instance)
         now = time.monotonic()
         if acknowledged is not None and now > acknowledged + self.drain and not self.may_be_delayed(server.vm, now):
-            self.report_violation("DRAIN", f"{name} reached {server.instance} {now - acknowledged:.2f} s after its leaving was acknowledged")
+            self.report_violation("DRAIN", f"{name} reached {server.instance} {now - acknowledged:.2f} s after its drain or deregistration was acknowledged")
 
     def began(self, server, name, request):
         self.runs[name] += 1
@@ -89,20 +89,20 @@
             _, service, path = self.called[name]
             self.check_run(server, name, request, service, ("GET", path, b""))
         else:
-            self.report_violation("UNASKED", f"{name} ran at {server.instance}, and nobody sent it")
+            self.report_violation("UNASKED", f"{name} ran at {server.instance}, but no client or server sent it")
 
     def check_run_of_client(self, server, name, request, sent):
         self.check_run(server, name, request, sent.vm.server.service, (sent.method, sent.path, sent.body))
         if sent.method == "POST" and self.runs[name] > 1:
-            self.report_violation("TWICE", f"{name} may run once and ran {self.runs[name]} times")
+            self.report_violation("TWICE", f"{name} is not idempotent and ran {self.runs[name]} times")
         if sent.method == "POST" and sent.status in NOT_RUN:
             self.report_violation("REFUSED", f"{name} was answered {sent.status} and ran afterwards at {server.instance}")
 
     def check_run(self, server, name, request, service, asked):
         if request.fields.get("x-caller-service") != service:
-            self.report_violation("UNASKED", f"{name} ran as from {request.fields.get('x-caller-service')}, and came from {service}")
+            self.report_violation("UNASKED", f"{name} ran with caller service {request.fields.get('x-caller-service')}, but was sent by {service}")
         if (request.method, request.target, request.body) != asked:
-            self.report_violation("UNASKED", f"{name} ran as {request.method} {request.target}, and was sent as {asked[0]} {asked[1]}")
+            self.report_violation("UNASKED", f"{name} ran as {request.method} {request.target}, but was sent as {asked[0]} {asked[1]}")
 
     def called_inner(self, server, name, parent, path):
         self.called[name] = (parent, server.service, path)
@@ -110,24 +110,24 @@
     def answered(self, server, name, status, body):
         self.answers[name].add((f"{server.instance}.{name}", status, body))
 
-    # What clients see.
+    # Events at clients.
 
     def note_sent(self, name, sent):
         self.sent[name] = sent
 
     def note_outcome(self, name, answer, has_more, timeout):
-        """Takes how an attempt ended; `has_more` tells of bytes that came without a request."""
+        """Records the outcome of an attempt; `has_more` is set if bytes arrived that belong to no request."""
         sent = self.sent[name]
         sent.ended = time.monotonic()
         sent.status = answer.status
         if has_more:
-            self.report_violation("MIXED", f"bytes came after the answer to {name}")
+            self.report_violation("MIXED", f"unexpected bytes followed the answer to {name}")
         if answer.status is None:
             self.check_missing(name, sent, timeout)
             return
         self.check_answer(name, sent, answer)
         if sent.method == "POST" and answer.status in NOT_RUN and self.runs[name] > 0:
-            self.report_violation("REFUSED", f"{name} was answered {answer.status} and had run")
+            self.report_violation("REFUSED", f"{name} was answered {answer.status} but had run before")
 
     def check_answer(self, name, sent, answer):
         stamp = answer.fields.get(STAMP)
@@ -135,9 +135,9 @@
         if answer.fields.get("x-request-id", name) != name:
             self.report_violation("MIXED", f"{name} got the answer to {answer.fields['x-request-id']}")
         if stamp is not None and given not in self.answers[name]:
-            self.report_violation("MIXED", f"{name} got {answer.status} signed {stamp}, which no server gave")
+            self.report_violation("MIXED", f"{name} got {answer.status} signed {stamp}, which no server sent")
         if answer.status == 200 and stamp is None:
-            self.report_violation("MIXED", f"{name} got 200 that no server signed")
+            self.report_violation("MIXED", f"{name} got an unsigned 200")
         if answer.status in CLIENT_ERRORS and answer.status not in NOT_RUN and stamp is None:
             self.check_refusal(name, sent, answer)
         if answer.status == 200:
@@ -153,12 +153,12 @@
         if sent.ended - sent.began >= timeout:
             self.report_violation("CONFIG", f"{name} at {sent.vm.name} had no final answer after {timeout:.1f} s")
         elif self.arrived_names[name] > 0:
-            self.report_violation("LOST", f"{name} was passed on by {sent.vm.name}, and its connection ended without an answer")
+            self.report_violation("LOST", f"{name} was forwarded by {sent.vm.name}, but its connection ended without an answer")
 
-    # What the soak itself does.
+    # Faults injected by the soak.
 
     def note_daemon_fault(self, vm, seconds):
-        """Notes that a daemon is killed or stopped now, and for how long that excuses what its callers miss."""
+        """Records that a daemon is killed or stopped now, and for how many seconds missing answers at it are excused."""
         now = time.monotonic()
         self.daemon_faults[vm.name].append((now, now + seconds))
 
@@ -166,7 +166,7 @@
         return any(begin <= until and end >= since for begin, end in self.daemon_faults[vm.name])
 
     def note_link_fault(self, vm, seconds):
-        """Notes that the link between a daemon and its server is harmed from now on, for so long."""
+        """Records a fault of the link between a daemon and its server that starts now and lasts `seconds`."""
         now = time.monotonic()
         self.link_faults[vm.name].append((now, now + seconds + LINK_FAULT_DELAY))
 
@@ -177,7 +177,7 @@
         self.leaving[instance] = time.monotonic()
 
     def check_budget(self):
-        """Repeats within any window, against what the requests for the service allow."""
+        """Checks that the repeats in any window stay within the retry budget of the service: ratio * requests + slack."""
         for service in {arrival.service for arrival in self.arrivals}:
             arrivals = [arrival for arrival in self.arrivals if arrival.service == service]
             firsts = [arrival.at for arrival in arrivals if not arrival.is_repeat]
--- a/standin/fleet/server.py
+++ b/standin/fleet/server.py
@@ -1,4 +1,4 @@
-"""A server of a service: slots and a queue, inner calls, and the faults that servers have."""
+"""Stand-in for a backend server: slots and a queue, inner calls, and injectable faults."""
 
 import asyncio
 import collections
@@ -12,7 +12,7 @@
 
 
 class Fault:
-    """What a server does wrong, each as a share of its answers."""
+    """Injected faults of a server: shares of its answers, a slowdown factor and a crash trigger."""
 
     def __init__(self, **shares):
         self.extra = shares.get("extra", 0.0)
@@ -21,35 +21,35 @@
         self.unsigned = shares.get("unsigned", 0.0)
         self.failed = shares.get("failed", 0.0)
         self.slowness = shares.get("slowness", 1.0)
-        # A word of the path of a request that crashes the server that begins it; it is back after `down` seconds.
+        # Path substring of requests that crash the server when they start; it returns after `down` seconds.
         self.crash_on = shares.get("crash_on", "")
         self.down = shares.get("down", 1.0)
 
 
 class Observer:
-    """Told of all that a server sees; this one forgets it."""
+    """Receives the events of a server; this base class ignores them."""
 
     def arrived(self, server, name, request):
-        """A request came, whatever becomes of it."""
+        """Called when a request arrives, before it is accepted or rejected."""
 
     def began(self, server, name, request):
-        """A request is run."""
+        """Called when a request starts to run."""
 
     def called_inner(self, server, name, parent, path):
-        """A run makes an inner call."""
+        """Called when a run makes an inner call."""
 
     def answered(self, server, name, status, body):
-        """A run ended; its answer may still be lost or spoiled on its way."""
+        """Called when a run has ended; its answer may still be lost or corrupted by a fault."""
 
 
 class Server:
-    """Runs requests of any kind for `work` seconds by kind; a kind may make calls through the daemon beside the server."""
+    """Runs requests for the `work` seconds of their kind; a kind may make inner calls through the daemon on the same VM."""
 
     def __init__(self, instance, service, address, slots, queue, kinds, seed=1):
         self.instance = instance
         self.service = service
         self.address = address
-        # Where it says that it is reached; a link may stand before it.
+        # Address in its heartbeats; differs from `address` if a link forwards to it.
         self.announced = address
         self.slots = slots
         self.queue = queue
@@ -80,7 +80,7 @@
         self.server.close()
 
     async def crash(self):
-        """Ends as a process that crashes: all connections break, and none is taken until it is back as a new instance."""
+        """Simulates a crash: aborts all connections and accepts none until it returns as a new instance."""
         self.crashes += 1
         self.server.close()
         for writer in list(self.writers):
@@ -123,7 +123,7 @@
             self.cancelled += 1
             run.cancel()
             return False
-        # The reader is back in order for the next request: nothing had come.
+        # Nothing was read, so the reader is usable for the next request.
         disconnected.cancel()
         try:
             await disconnected
@@ -178,7 +178,7 @@
             self.free()
 
     async def call(self, target, parent, deadline):
-        """Makes an inner call through the daemon beside this server."""
+        """Makes an inner call through the daemon on the same VM; returns whether it was answered 200."""
         host, path = target
         left = int((deadline - time.monotonic()) * 1000)
         if left <= 0:
@@ -215,13 +215,13 @@
         return True
 
     async def report(self, control, state=None):
-        """Sends one heartbeat; gives the status of the acknowledgement, or None."""
+        """Sends one heartbeat; returns the status of the acknowledgement, or None."""
         self.state = state or self.state
         self.sequence += 1
         return await self.send_heartbeat(control, self.state, self.sequence)
 
     async def report_late(self, control):
-        """Delivers a heartbeat of before it said that it leaves, as one that was held up on its way."""
+        """Sends a heartbeat with a sequence number from before the server announced that it leaves, as if delayed in the network."""
         return await self.send_heartbeat(control, "ready", max(self.sequence - 1, 0))
 
     async def send_heartbeat(self, control, state, sequence):
@@ -231,13 +231,13 @@
         return await post(control, f"/api/instances/{self.instance}/heartbeat", json.dumps(body).encode())
 
     async def deregister(self, control):
-        """Takes itself out of the list; gives the status of the acknowledgement, or None."""
+        """Deregisters the server; returns the status of the acknowledgement, or None."""
         self.state = "left"
         return await post(control, f"/api/instances/{self.instance}/deregister", json.dumps({"born": self.started_ms}).encode())
 
 
 async def post(endpoint, path, body, method="POST"):
-    """Makes one call; gives the status, or None if no answer came."""
+    """Makes one HTTP request; returns the status, or None without an answer."""
     host, port = endpoint.split(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
--- a/standin/fleet/soak.py
+++ b/standin/fleet/soak.py
@@ -1,8 +1,8 @@
-"""A soak: real daemons under a seeded series of faults from outside, with the promises checked while it runs.
+"""Soak test: real daemons under a seeded series of external faults, with the invariants checked while it runs.
 
-Faults come in series and overlap: daemons are killed, paused, ended and started again, servers crash, leave, lose and
-spoil answers, links between all parties delay, fall silent, break or pass one way only, the store is away, loses answers
-or forgets its history, operators change the configuration. Clients keep using open connections until a process is gone.
+Faults overlap: daemons are killed, paused, terminated and restarted; servers crash, leave, lose and corrupt answers; links
+between all processes delay, fall silent, break or forward one direction only; the store is down, loses answers or forgets
+its history; operators change the configuration. Clients keep using open connections until a process has exited.
 """
 
 import asyncio
@@ -24,17 +24,17 @@
          "entry": {"work": 0.04, "calls": [(HOST, "/winch/")]}, "read": {"work": 0.02}}
 ROUTES = {"lookup": ("history", {"priority": 2}), "winch": ("roster", {"priority": 2, "timeout": 700}),
           "read": ("roster", {"priority": 1, "timeout": 600}), "entry": ("log", {"priority": 0, "kind": "non_idempotent"})}
-# Requests of each kind, in proportion; the rest are routes that were added meanwhile.
+# Weights of the requests by kind; "added" stands for the routes that were added during the run.
 MIX = {"lookup": 4, "entry": 3, "read": 3, "added": 1}
 BOUNDS = {"grace": "4s", "drain": "1s", "retry_budget_ratio": "0.2", "budget_slack": "40"}
 # Seconds.
 PAUSE_BETWEEN_FAULTS = (0.05, 0.7)
 DRAIN = 1.0
 GRACE = 4.0
-# Seconds: the longest that a fleet may take to serve all again after the last fault, as the users' pages bound it.
+# Seconds in which a fleet must serve every route again after the last fault; the bound is the documented one.
 RECOVERY = 15.0
-# Seconds after a daemon was killed, paused or cut off in which its callers may miss answers: its start, and the time until
-# connections that fell silent are given up.
+# Seconds after a daemon was killed, paused or cut off in which answers to its callers may be missing: the time it takes to
+# start, and the time until silent connections are given up.
 EXCUSED = 6.0
 LONGEST_TIMEOUT = 1.2
 
@@ -61,13 +61,13 @@
 
 
 class Leaving:
-    """How a server leaves: by a farewell or by heartbeats, and whether its daemon is killed around it."""
+    """Describes how a server leaves: by deregistration or draining heartbeats, and whether its daemon is killed before or after."""
 
     def __init__(self, is_deregistration=False, restart=None, pause=0.0, late_at=None):
         self.is_deregistration = is_deregistration
         self.restart = restart
         self.pause = pause
-        # In steps of 0.3 s after the acknowledgement.
+        # Time of the late heartbeat, in steps of 0.3 s after the acknowledgement.
         self.late_at = late_at
 
     @classmethod
@@ -77,19 +77,19 @@
         return cls(rng.random() < 0.5, rng.choice([None, "before", "after"]), rng.uniform(0.0, 0.8), rng.randrange(8))
 
     def __str__(self):
-        method = "farewell" if self.is_deregistration else "draining"
+        method = "deregistered" if self.is_deregistration else "draining"
         return f"{method}, daemon killed: {self.restart or 'no'}, late heartbeat at step {self.late_at}"
 
 
 class Soak:
-    """One run: `daemons` for each service, `seconds` of faults, all choices by the seed."""
+    """Runs one soak: `daemons` per service, `seconds` of faults, every choice drawn from the seed."""
 
     def __init__(self, binary, seed, seconds=20.0, daemons=3, clients=24, pipelining=4, leaves_around_restarts=True):
         self.seed = seed
         self.seconds = seconds
         self.clients = clients
         self.pipelining = pipelining
-        # Draws of its own, so that seeds of before play as they did without it.
+        # A separate generator, so that seeds from before this fault existed still play the same.
         self.leaving = random.Random(f"{seed}/leaving") if leaves_around_restarts else None
         self.random = random.Random(seed)
         services = {"history": (daemons, 12, 24), "log": (daemons, 12, 24), "roster": (daemons, 12, 24)}
@@ -111,7 +111,7 @@
                 vm.server.observer = self.record
             self.change_configuration()
             if not await self.fleet.ready(20) or not await self.all_served(RECOVERY):
-                self.record.report_violation("START", "the fleet did not come together")
+                self.record.report_violation("START", "the fleet did not become ready")
                 return self.result()
             clients = [asyncio.ensure_future(self.client(number)) for number in range(self.clients)]
             clients += [asyncio.ensure_future(self.pipelining_client(number)) for number in range(self.pipelining)]
@@ -119,7 +119,7 @@
             await self.inject_faults()
             self.heal()
             if not await self.all_served(RECOVERY):
-                self.record.report_violation("RECOVER", f"not all is served {RECOVERY:.0f} s after the last fault")
+                self.record.report_violation("RECOVER", f"not every route is served {RECOVERY:.0f} s after the last fault")
             self.is_over = True
             await asyncio.gather(*clients)
             await self.check_rest()
@@ -146,7 +146,7 @@
     # Clients.
 
     async def client(self, number):
-        """Sends one request after the other, on kept connections or new ones, at any VM."""
+        """Sends one request after another to random VMs, on kept or new connections."""
         vm = None
         client = None
         rng = random.Random(f"{self.seed}/{number}")
@@ -161,7 +161,7 @@
             await asyncio.sleep(rng.expovariate(8))
 
     async def pipelining_client(self, number):
-        """Sends several requests at once on a connection, now and then one that must not be repeated among them, and some on top."""
+        """Pipelines batches of requests on a connection, some of them not idempotent."""
         rng = random.Random(f"{self.seed}/pipelining/{number}")
         while not self.is_over:
             vm = rng.choice(self.fleet.vms)
@@ -173,7 +173,7 @@
             pipeline.close()
 
     async def batch(self, vm, pipeline, rng):
-        """Sends a batch and notes how each of its requests ended; false once the connection is over."""
+        """Sends a batch and records the outcome of each request; returns false once the connection has ended."""
         requests = [self.next_request(vm, rng) for _ in range(rng.randint(2, 6))]
         timeout = LONGEST_TIMEOUT * len(requests) + ANSWER_MARGIN
         try:
@@ -205,7 +205,7 @@
         self.record.note_outcome(request, answer, client.has_more(), timeout)
 
     async def all_served(self, seconds):
-        """Waits until each VM serves each route, by requests that count like any others."""
+        """Waits until each VM serves each route, with probe requests that are recorded like all others."""
         end = time.monotonic() + seconds
         missing = [(vm, name) for vm in self.fleet.vms for name in self.routes()]
         while missing and time.monotonic() < end:
@@ -230,7 +230,7 @@
     # Faults.
 
     async def inject_faults(self):
-        """Begins faults at random times; each ends by itself, and many are under way at once."""
+        """Starts faults at random times; each ends by itself, and several overlap."""
         faults = [self.kill, self.kill, self.pause, self.end_and_start, self.end_and_start, self.reload, self.server_fails, self.server_fails,
                   self.server_crashes, self.server_leaves, self.server_leaves, self.link_fails, self.link_fails, self.link_fails,
                   self.store_fails, self.configure, self.configure]
@@ -255,7 +255,7 @@
         return next(iter(self.record.sent.values())).began
 
     def pick_vm(self):
-        """A VM whose daemon and server nothing else is done to at the moment."""
+        """Returns a random VM without an active daemon or server fault, or None unless more than half of the VMs are free."""
         free = [vm for vm in self.fleet.vms if not getattr(vm, "is_taken", False)]
         return self.random.choice(free) if len(free) > len(self.fleet.vms) / 2 else None
 
@@ -292,7 +292,7 @@
         vm.is_taken = False
 
     async def end_and_start(self):
-        """SIGTERM, at times twice, at times with the configuration changed; what is in flight must be finished."""
+        """Terminates a daemon by SIGTERM, sometimes sent twice, and restarts it; requests in flight must be finished."""
         vm = self.pick_vm()
         if vm is None:
             return
@@ -341,7 +341,7 @@
         vm.is_taken = False
 
     async def server_leaves(self):
-        """The server says that it leaves, goes on for a while, ends, and another takes its address."""
+        """Lets a server announce that it leaves, run on for a while and exit; a new one then takes its address."""
         vm = self.pick_vm()
         if vm is None:
             return
@@ -363,7 +363,7 @@
         vm.is_taken = False
 
     async def announce_leaving(self, vm, how):
-        """Lets a server say that it leaves until it is heard."""
+        """Announces that a server leaves until its daemon acknowledges it; returns whether it did."""
         for _ in range(20):
             report = vm.server.deregister(vm.reports) if how.is_deregistration else vm.server.report(vm.reports, state="draining")
             if await report == 200:
@@ -372,7 +372,7 @@
         return False
 
     async def keep_running(self, vm, how, seconds):
-        """Lets a server that leaves go on; one that said farewell sends no more heartbeats, but an earlier one may still come."""
+        """Keeps a leaving server running; once deregistered it sends no heartbeats, but a delayed earlier one may still arrive."""
         for step in range(int(seconds / 0.3)):
             if not how.is_deregistration:
                 await vm.server.report(vm.reports)
@@ -420,28 +420,28 @@
         self.change_configuration()
         self.note(None, f"configuration {self.version}")
 
-    # Checks that are not of one request.
+    # Checks that concern no single request.
 
     async def watch_exits(self):
-        """No daemon ends that was not told to."""
+        """Reports and restarts daemons that exit although the soak did not end them."""
         while True:
             for vm in self.fleet.vms:
                 if vm.process.poll() is not None and vm.process.pid not in self.expected_exits:
                     self.expected_exits.add(vm.process.pid)
-                    self.record.report_violation("EXIT", f"{vm.name} ended by itself with {vm.process.returncode}:\n{self.fleet.log(vm)[-2000:]}")
+                    self.record.report_violation("EXIT", f"{vm.name} exited unexpectedly with {vm.process.returncode}:\n{self.fleet.log(vm)[-2000:]}")
                     self.record.note_daemon_fault(vm, EXCUSED)
                     self.fleet.start_daemon(vm)
             await asyncio.sleep(0.2)
 
     async def check_rest(self):
-        """With nothing under way, nothing is left running anywhere, and each line of a log can be read."""
+        """Checks, without requests in flight, that nothing is left running or queued, that retries kept their budget and that logs are JSON."""
         for _ in range(50):
             left = [vm.name for vm in self.fleet.vms if vm.server.running > 0 or vm.server.waiting] + self.busy_daemons()
             if not left:
                 break
             await asyncio.sleep(0.2)
         else:
-            self.record.report_violation("LEFT", f"runs are left at {left}, though nobody waits for them")
+            self.record.report_violation("LEFT", f"runs remain at {left} although no client waits for them")
         self.record.check_budget()
         for vm in self.fleet.vms:
             self.check_log(vm)
@@ -460,6 +460,6 @@
             try:
                 json.loads(line)
             except ValueError:
-                # A daemon that was killed may have been in the middle of its last line, and the next one begins after it.
+                # A killed daemon may leave a truncated last line, to which the next one appends.
                 if not self.record.daemon_faults[vm.name]:
                     self.record.report_violation("LOG", f"{vm.name}: {line[:200]}")
--- a/standin/fleet/store.py
+++ b/standin/fleet/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: rows in tables, transactions, and a feed of changes; with outages on demand."""
+"""Stand-in for the platform's store: rows in tables, transactions and a change feed, with injectable faults."""
 
 import asyncio
 import base64
@@ -16,7 +16,7 @@
 
 
 class Store:
-    """Keeps rows in memory. `fault` is None, "refuse" (503), "silent" (no answer) or "lose" (done, but not answered)."""
+    """Keeps rows in memory. `fault` is None, "refuse" (503), "silent" (no answer) or "lose" (applied, but not answered)."""
 
     def __init__(self):
         self.rows = {}
@@ -32,7 +32,7 @@
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", port, backlog=1024)
 
     def put(self, table, key, value, part=""):
-        """Writes a row, as the operators do."""
+        """Writes a row, as operators do."""
         self.version += 1
         self.rows[(table, part, key)] = (value, self.version)
         self.announce()
@@ -46,7 +46,7 @@
         self.announce()
 
     def silence(self):
-        """Leaves all open connections open without a sign of life, also to the probes of the other side's kernel; new ones work."""
+        """Keeps all open connections open but drops their incoming packets, so that keep-alive probes fail too; new ones work."""
         drop_all = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, 0))
         program = struct.pack("HL", 1, ctypes.addressof(drop_all))
         for writer in self.connections:
--- a/standin/fleet/wire.py
+++ b/standin/fleet/wire.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 by hand over asyncio streams, so that a stand-in can also break it."""
+"""Minimal HTTP/1.1 over asyncio streams, so that a stand-in can also violate the protocol."""
 
 import asyncio
 
 
 class Message:
-    """A request or a response: its first line, its fields (names in lower case) and its body."""
+    """Holds a request or a response: start line, header fields (names in lower case) and body."""
 
     def __init__(self, first, fields, body):
         self.first = first
@@ -25,7 +25,7 @@
 
 
 async def read_message(reader):
-    """Reads one message; None at the end of the connection before its first byte."""
+    """Reads one message; returns None if the connection ended before its first byte."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError as cut:
@@ -43,7 +43,7 @@
 
 
 def encode(first, fields, body=b"", has_length=True):
-    """Gives the bytes of a message."""
+    """Returns the bytes of a message."""
     lines = [first] + [f"{name}: {value}" for name, value in fields.items()]
     if has_length:
         lines.append(f"Content-Length: {len(body)}")
@@ -55,5 +55,5 @@
 
 
 def response(status, fields, body=b"", has_length=True):
-    """Gives the bytes of a response."""
+    """Returns the bytes of a response."""
     return encode(f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}", fields, body, has_length)
--- a/test/processes/fleet_case.py
+++ b/test/processes/fleet_case.py
@@ -1,4 +1,4 @@
-"""A small fleet of real daemons around the stand-in of the platform, for tests of the whole path."""
+"""Base class for end-to-end tests with a small fleet of real daemons against the platform stand-in."""
 
 import asyncio
 import sys
@@ -13,7 +13,7 @@
 
 HOST = "mesh.example"
 SERVICES = {"history": (2, 8, 8), "log": (2, 8, 8), "roster": (2, 4, 8)}
-# So many repeats that no test runs out of them; their bound has tests of its own.
+# A retry budget that no test exhausts; the budget itself has its own tests.
 BOUNDS = {"grace": "4s", "drain": "1s", "retry_budget_ratio": "0.2", "budget_slack": "1000"}
 KINDS = {"lookup": {"work": 0.004, "calls": [(HOST, "/winch/")]}, "winch": {"work": 0.004}, "entry": {"work": 0.01}, "read": {"work": 0.004}}
 
@@ -46,4 +46,4 @@
             if all(answer.status == 200 for answer in answers):
                 return
             await asyncio.sleep(0.1)
-        self.fail("the daemons did not find one another: " + "\n".join(self.fleet.log(vm) for vm in self.fleet.vms))
+        self.fail("the daemons did not discover each other: " + "\n".join(self.fleet.log(vm) for vm in self.fleet.vms))
--- a/test/processes/support.py
+++ b/test/processes/support.py
@@ -1,4 +1,4 @@
-"""What the process tests share: a mesh of real processes, and calls over HTTP."""
+"""Shared support of the process tests: a mesh of real processes, and calls over HTTP."""
 
 import json
 import os
@@ -17,12 +17,12 @@
 
 
 def free_port():
-    """Gives a port that nobody listens on, and that nobody else is given."""
+    """Returns a port that nothing listens on and that is not returned again."""
     return free_ports(1)[0]
 
 
 def call(url, body=b"", headers=None, method="POST"):
-    """Gives status, headers and body of an answer, whatever its status."""
+    """Returns status, headers and body of an answer with any status."""
     request = urllib.request.Request(url, data=body, headers=headers or {}, method=method)
     try:
         with urllib.request.urlopen(request, timeout=20) as answer:
@@ -32,12 +32,12 @@
 
 
 def executions(servers, key):
-    """Says how often a request key ran, over all given backend servers."""
+    """Returns the number of runs of a request key over all given backend servers."""
     return sum(json.loads(call(f"{url}/executions", method="GET", body=None)[2]).get(key, 0) for url in servers)
 
 
 class MeshTest(unittest.TestCase):
-    """Starts a deployment once for all tests of a class; `mesh` is what scripts/mesh printed."""
+    """Starts a deployment once for all tests of a class; `mesh` is the JSON printed by scripts/mesh."""
 
     arguments = ["gliding-union"]
 
--- a/test/processes/test_account.py
+++ b/test/processes/test_account.py
@@ -1,4 +1,4 @@
-"""The account of refusals over separate processes: from the answer to the daemon's memory to the object store."""
+"""Refusal records over separate processes: in the answer, in the daemon's memory and in the object store."""
 
 import json
 import os
@@ -21,7 +21,7 @@
     arguments = ["gliding-union", "--servers", "1"]
 
     def test_a_refusal_is_explained_by_the_daemon_and_then_from_the_store(self):
-        # A member asks the next day why a launch entry was refused, and by then the VM that refused it is gone.
+        # Guards against a refusal that cannot be explained any more after the VM that refused the request is gone.
         daemon = next(one for one in self.mesh["daemons"] if one["service"] == "launch-log")
         entry = f"http://127.0.0.1:{daemon['caller']}"
         backend = self.mesh["backends"]["launch-log"][0]
--- a/test/processes/test_bad_input.py
+++ b/test/processes/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input at the edge for callers: a clear answer, and the daemon goes on."""
+"""Bad input on the caller port: it is answered with a clear error, and the daemon keeps serving."""
 
 import json
 import socket
@@ -10,7 +10,7 @@
 
 
 def exchange(port, data):
-    """Sends raw bytes and gives what comes back until the connection ends or stays silent."""
+    """Sends raw bytes and returns what is received until the connection ends; a silent one raises after 5 s."""
     with socket.create_connection(("127.0.0.1", port), timeout=5) as connection:
         connection.sendall(data)
         connection.shutdown(socket.SHUT_WR)
@@ -29,8 +29,8 @@
         self.assertEqual(200, call(f"{self.entry}/call/duty-roster/roster-read/")[0])
 
     def test_a_body_over_the_limit_is_refused_before_it_is_kept(self):
-        # Every request to a VM fails. One caller sends bodies without end, and the daemon keeps each in memory until it
-        # is whole; the cause is that the limit was looked at only afterwards.
+        # Guards against a daemon that buffers a body without bound because it checks the limit only once the body is complete;
+        # one such caller made every request to the VM fail.
         head = b"POST /call/duty-roster/roster-read/ HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000000000\r\n\r\n"
         answer = b""
         with socket.create_connection(("127.0.0.1", self.port), timeout=5) as connection:
--- a/test/processes/test_command_line.py
+++ b/test/processes/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: help, checks of what people wrote, and exit codes."""
+"""Tests of the command line: help, validation of input files, and exit codes."""
 
 import json
 import pathlib
--- a/test/processes/test_configuration.py
+++ b/test/processes/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations over separate processes: submitted, raced for, lost answers, a store that is down at a start."""
+"""Configurations over separate processes: submissions, races, lost answers, and a start while the store is down."""
 
 import json
 import pathlib
@@ -27,7 +27,7 @@
 
 
 class DeploymentTest(MeshTest):
-    """A small deployment with its platform, and what the tests of configurations ask of it."""
+    """Base class with a small deployment and its platform, and helpers for the tests of configurations."""
 
     arguments = ["gliding-union", "--servers", "1"]
 
@@ -50,7 +50,7 @@
         self.assertEqual(204, call(f"{self.platform}/control", json.dumps(behaviour).encode())[0])
 
     def manifest(self, number):
-        """A manifest unlike any other, by a cost that no test depends on."""
+        """Writes a manifest that is unique by a cost that no test depends on; returns its path."""
         document = json.loads(pathlib.Path(self.mesh["manifest"]).read_text())
         document["services"][0]["kinds"][0]["costMs"] = 1 + number % 50
         path = pathlib.Path(self.folder.name) / f"{number}.json"
@@ -85,8 +85,8 @@
         self.assertIn(f"version {base + 1} is in force on {len(self.entries)} of {len(self.entries)}", status.stdout)
 
     def test_operators_who_race_while_answers_are_lost_have_one_winner_each(self):
-        # Five operators submit at once. The platform loses half of its answers after the write took effect, so a winner
-        # may be told that it lost, or two that they won; or a daemon may fall back to a version it had left behind.
+        # Five operators submit at once while the platform loses half of its answers after the write took effect. Guards against
+        # a winner that is reported as a conflict, two winners of a version, and a daemon that reverts to an older version.
         first = self.newest()
         self.control(loseAnswerShare=0.5)
         accepted, conflicts, unexpected = [], [], []
@@ -163,7 +163,7 @@
             daemon.terminate()
             _, log = daemon.communicate()
         self.assertNotIn("a token of the operators", log)
-        # A log collector drops every line: each lacked its closing brace and was no JSON.
+        # Guards against log lines without a closing brace, which are not JSON and were dropped by log collectors.
         events = [json.loads(line)["event"] for line in log.splitlines()]
         self.assertIn("started", events)
 
@@ -172,8 +172,8 @@
     arguments = ["gliding-union", "--servers", "1", "--no-encryption"]
 
     def test_a_daemon_that_starts_while_the_store_is_down_takes_it_from_a_peer(self):
-        # A rack comes back while the store is down. Its daemons know no configuration and refuse every call, although
-        # their neighbours have it in force.
+        # Guards against daemons that start during an outage of the store, know no configuration and refuse every call although
+        # their peers have it in force.
         base = self.newest()
         self.assertEqual(0, submit(self.platform, self.manifest(3), base)[0])
         self.wait_for(base + 1)
--- a/test/processes/test_experiments.py
+++ b/test/processes/test_experiments.py
@@ -1,4 +1,4 @@
-"""What an experiment computes after a run: the possible goodput, the checks, the page. No process is started here."""
+"""Evaluation of an experiment: possible goodput, checks and report page. No daemon is started here."""
 
 import json
 import pathlib
--- a/test/processes/test_fleet_standin.py
+++ b/test/processes/test_fleet_standin.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform itself: what the tests that use it rest on."""
+"""Tests of the platform stand-in itself."""
 
 import json
 import subprocess
@@ -15,9 +15,9 @@
 
 class Ports(unittest.TestCase):
     def test_no_port_is_given_twice(self):
-        # Two VMs of one fleet were told to answer readiness probes on one port. The second daemon could not listen and
-        # ended; the first answered the probes of both, so the fleet counted as ready and never came together. Chosen at
-        # random without memory, 36 ports of 22,000 hold one twice in 3 fleets of 100.
+        # Guards against two VMs of a fleet with the same readiness port: the second daemon cannot listen and exits, the first
+        # answers the probes of both, so the fleet counts as ready but never becomes complete. With independent random draws,
+        # 36 ports out of 22,000 contain a duplicate in 3 of 100 fleets.
         given = [port for _ in range(200) for port in free_ports(PORTS_PER_VM)]
         self.assertEqual(len(given), len(set(given)))
 
@@ -31,7 +31,7 @@
             return subprocess.run(command, capture_output=True, text=True, timeout=120)
 
     def test_a_day_is_played_and_counted_and_no_unsafe_request_runs_twice(self):
-        # Answers of launch entries are lost while their daemons are killed: each is counted once, and none runs twice.
+        # Answers of launch entries are lost and their daemons killed: each entry is counted once, and none runs twice.
         day = {
             "story": "answers lost, a daemon killed", "seconds": 4,
             "services": {"log": [3, 8, 16], "roster": [2, 8, 16]},
--- a/test/processes/test_load.py
+++ b/test/processes/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool against a running deployment: every request is accounted for once."""
+"""Tests of the load tool against a running deployment: every request is counted once."""
 
 import json
 import pathlib
--- a/test/processes/test_membership.py
+++ b/test/processes/test_membership.py
@@ -1,4 +1,4 @@
-"""Daemons that come, drain, pause, die and are strangers, with real processes and requests in flight."""
+"""Daemons that join, drain, pause, fail or lack accepted keys, with real processes and requests in flight."""
 
 import concurrent.futures
 import json
@@ -19,11 +19,11 @@
 
 
 def wait_until(condition, description):
-    """Looks again and again until something holds; the limit only keeps a broken run from hanging."""
+    """Polls until a condition holds; the time limit only keeps a failed run from hanging."""
     limit = time.monotonic() + TIMEOUT
     while not condition():
         if time.monotonic() > limit:
-            raise AssertionError(f"never came: {description}")
+            raise AssertionError(f"timed out waiting for: {description}")
         time.sleep(0.05)
 
 
@@ -32,7 +32,7 @@
 
 
 def states(daemon):
-    """Gives the state of each member as a daemon sees it."""
+    """Returns the state of each member as a daemon sees it."""
     status = json.loads(call(base(daemon) + "/status", None, method="GET")[2])
     return {member["id"]: member["state"] for member in status.get("members", [])}
 
@@ -66,8 +66,8 @@
 
 class Leaving(Fleet):
     def test_a_graceful_shutdown_cuts_off_no_request_in_flight(self):
-        # A marshal sees a launch entry fail because a VM was replaced. Entries run at two servers, one daemon gets
-        # SIGTERM in the middle of them, and a process that ends at once would cut its connections.
+        # Guards against launch entries that fail because their VM is replaced: entries run at two servers when one daemon gets
+        # SIGTERM, and a process that exits at once would cut its connections.
         self.control("launch-log", slowdown=300)
         with concurrent.futures.ThreadPoolExecutor(12) as pool:
             calls = self.start_calls(pool, "launch-log", "launch-entry", 12, "shutdown")
@@ -78,11 +78,11 @@
         self.assertEqual([200] * 12, [status for status, _, _ in answers])
         self.assertEqual([1] * 12, [executions(self.mesh["backends"]["launch-log"], f"shutdown-{number}") for number in range(12)])
         others = [daemon for daemon in self.mesh["daemons"] if daemon["id"] != "launch-log-0"]
-        wait_until(lambda: all(states(daemon)["launch-log-0"] == "gone" for daemon in others), "the daemon's leave everywhere")
+        wait_until(lambda: all(states(daemon)["launch-log-0"] == "gone" for daemon in others), "launch-log-0 gone at every daemon")
 
     def test_a_drain_finishes_what_runs_and_announcements_do_not_undo_it(self):
-        # An operator drains a backend server to replace it, and it goes on getting work: it announces itself every
-        # second while it drains, and each announcement put it back to work.
+        # Guards against a drained backend server that keeps receiving work: it announces itself every second while it drains,
+        # and each announcement had put it back to serving.
         drained = self.daemon("duty-roster-0")
         self.control("duty-roster", slowdown=300)
         with concurrent.futures.ThreadPoolExecutor(4) as pool:
@@ -93,7 +93,7 @@
         self.control("duty-roster")
         self.assertEqual([200] * 4, [status for status, _, _ in answers])
         others = [daemon for daemon in self.mesh["daemons"] if daemon["id"] not in ("duty-roster-0", "launch-log-0")]
-        wait_until(lambda: all(states(daemon)["duty-roster-0"] == "draining" for daemon in others), "the drain everywhere")
+        wait_until(lambda: all(states(daemon)["duty-roster-0"] == "draining" for daemon in others), "duty-roster-0 draining at every daemon")
         ran = json.loads(call(f"{self.mesh['backends']['duty-roster'][0]}/load", None, method="GET")[2])["ran"]
         announcements = metric(drained, "egretlatch_announcements")
         wait_until(lambda: metric(drained, "egretlatch_announcements") >= announcements + 2, "two more announcements")
@@ -104,8 +104,8 @@
 
 class Failing(Fleet):
     def test_a_lost_daemon_ends_its_attempts_before_their_deadline(self):
-        # A caller waits twenty seconds for an entry whose VM failed in the first. The connection between the daemons
-        # breaks at once, and the entry daemon, which sees it, must not wait for the deadline.
+        # Guards against a caller that waits its full twenty seconds for an entry whose VM failed in the first: the entry daemon
+        # sees the connection between the daemons break and must not wait for the deadline.
         self.control("launch-log", hangs=True)
         with concurrent.futures.ThreadPoolExecutor(6) as pool:
             calls = self.start_calls(pool, "launch-log", "launch-entry", 6, "lost")
@@ -118,22 +118,22 @@
             self.assertIn("the connection to the serving daemon was lost", body.decode())
 
     def test_a_silent_backend_server_is_taken_for_gone(self):
-        # Calls are refused one after the other by a daemon whose backend server was killed: it said nothing, and its
-        # last announcement was good for ever.
+        # Guards against a daemon that keeps being sent calls after its backend server was killed, because the last announcement
+        # of the server never expired.
         os.kill(self.daemon("logbook-archive-0")["backendPid"], signal.SIGKILL)
         observer = self.daemon("flight-history-0")
-        wait_until(lambda: states(observer)["logbook-archive-0"] == "idle", "the server's absence at another daemon")
+        wait_until(lambda: states(observer)["logbook-archive-0"] == "idle", "logbook-archive-0 idle at another daemon")
 
     def test_a_paused_daemon_becomes_suspect_and_returns_to_serving(self):
-        # A VM is paused for some seconds. The fleet must stop sending it work, and take it back when it wakes.
+        # The fleet must stop sending work to a VM that is paused for some seconds, and resume once it runs again.
         paused = self.daemon("duty-roster-1")
         observer = self.daemon("flight-history-1")
         os.kill(paused["pid"], signal.SIGSTOP)
         try:
-            wait_until(lambda: states(observer)["duty-roster-1"] in ("suspect", "gone"), "the doubt")
+            wait_until(lambda: states(observer)["duty-roster-1"] in ("suspect", "gone"), "duty-roster-1 suspect or gone")
         finally:
             os.kill(paused["pid"], signal.SIGCONT)
-        wait_until(lambda: states(observer)["duty-roster-1"] == "serving", "the way back")
+        wait_until(lambda: states(observer)["duty-roster-1"] == "serving", "duty-roster-1 serving again")
 
 
 class Keys(Fleet):
@@ -169,8 +169,8 @@
             return False
 
     def test_daemons_without_accepted_keys_are_refused_and_counted(self):
-        # Someone in the network reads request bodies, or draws calls to a server of his own, by a process that speaks
-        # the inner protocol: with keys of his own, or with none.
+        # Guards against an attacker in the network who joins with the peer protocol, with unknown keys or without keys, to read
+        # request bodies or to attract calls to another server.
         target = self.daemon("flight-history-0")
         refused = "egretlatch_connections_refused"
         before = metric(target, refused)
@@ -186,8 +186,8 @@
         self.assertFalse({"stranger-1", "stranger-2"} & set(states(target)))
 
     def test_keys_are_changed_without_a_stop(self):
-        # Half of the fleet has the new key pair already, the other half still the old one, and all accept both. Calls
-        # between the halves must go on.
+        # During a key rotation some daemons have the new key pair and some the old one, and all accept both: all of them must
+        # still see each other as members.
         old, new = make_keys(), make_keys()
         accepted = [old["publicKey"], new["publicKey"]]
         ports = {name: free_ports(2) for name in ("old-1", "new-1", "new-2")}
--- a/test/processes/test_pipelining.py
+++ b/test/processes/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Callers that send on before they are answered, against real daemons around the stand-in of the platform."""
+"""Callers that pipeline requests, with real daemons against the platform stand-in."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 class Pipelining(FleetCase):
     async def test_requests_behind_a_slow_one_run_concurrently_and_each_gets_its_own_answer(self):
-        # A member's page waits for the sum of its requests: each is begun only when the one ahead has been answered.
+        # Guards against pipelined requests that run in sequence, so that the last answer takes the sum of all their times.
         for server in self.fleet.servers("roster"):
             server.fault = Fault(slowness=50)
         pipeline = Pipeline(self.fleet.vms[0].callers)
@@ -51,7 +51,7 @@
         pipeline = Pipeline(self.fleet.vms[0].callers)
         await pipeline.send([(f"p-{number}", HOST, "/read/") for number in range(5)])
         started = await self.count_started(5)
-        # The fifth may still wait at a daemon whose server has no slot left; it is never begun.
+        # The fifth may still wait at a daemon whose server has no free slot; it never starts.
         self.assertGreaterEqual(started, 4)
         pipeline.close()
         await asyncio.sleep(0.5)
@@ -59,7 +59,7 @@
         self.assertEqual(started, sum(self.fleet.runs(f"p-{number}") for number in range(5)))
 
     async def count_started(self, count):
-        """Gives how many of so many requests run, once all do or nothing has begun for a second."""
+        """Returns how many of `count` requests have started, once all have or none has started for a second."""
         started, since = 0, time.monotonic()
         while started < count and time.monotonic() - since < 1:
             await asyncio.sleep(0.02)
--- a/test/processes/test_platform.py
+++ b/test/processes/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in: what it keeps, and how it fails when told to."""
+"""Tests of the platform stand-in: stored data and injected faults."""
 
 import base64
 import json
--- a/test/processes/test_sidecar.py
+++ b/test/processes/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The whole path on the users' platform, with real daemons as processes around the stand-in of the platform."""
+"""End-to-end tests of the sidecar, with real daemon processes against the platform stand-in."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
         self.assertEqual([200] * len(self.fleet.vms), statuses)
 
     async def test_an_older_configuration_and_one_that_cannot_be_read_change_nothing(self):
-        # The row holds the newest alone, so each has to be seen before the next is written.
+        # The row holds only the newest version, so each must be seen before the next is written.
         self.fleet.store.put_configuration(configuration(3, routes(**spec("fresh", "log")), SERVICES))
         await asyncio.sleep(1)
         self.fleet.store.put_configuration(configuration(2, routes(), SERVICES))
@@ -54,7 +54,7 @@
         answer = await Client(self.fleet.vms[0].callers).send("n-1", HOST, "/read/")
         self.assertEqual(504, answer.status)
         self.assertLess(answer.seconds, 1)
-        # The run is given up at the server, too.
+        # The run is cancelled at the server too.
         await asyncio.sleep(0.4)
         self.assertGreater(sum(server.cancelled for server in self.fleet.servers("roster")), 0)
 
@@ -68,8 +68,8 @@
         self.assertGreater(sum(server.cancelled for server in self.fleet.servers("roster")), 0)
 
     async def test_a_launch_entry_whose_answer_is_lost_runs_once_and_no_refusal_says_otherwise(self):
-        # A member is billed twice for one launch, or told that nothing ran. The server runs the entry and resets the
-        # connection in place of an answer.
+        # Guards against a launch that is billed twice, or refused as not run, after the server ran the entry and reset the
+        # connection instead of answering.
         for server in self.fleet.servers("log"):
             server.fault = Fault(lost=1)
         for number in range(20):
@@ -84,8 +84,8 @@
         self.assertEqual([200] * 20, statuses)
 
     async def test_a_request_that_crashes_servers_is_quarantined_and_others_are_served(self):
-        # One request takes down each server that begins to run it, with all that runs there, and it comes again and again
-        # at any machine of the same service until the one it calls is gone.
+        # Guards against a request that crashes each server that runs it, with all other runs there, and is resent to the other
+        # VMs of the service until no server is left.
         servers = self.fleet.servers("roster")
         for server in servers:
             server.fault = Fault(crash_on="poison", down=0.3)
@@ -100,14 +100,14 @@
                 await asyncio.sleep(0.2)
             else:
                 self.fail("nothing else is served")
-        # The third crash is known to all within a second; the two servers may be taken down by what comes in that second.
+        # All daemons know of the third crash within a second; requests in that second may crash both servers again.
         self.assertLessEqual(sum(server.crashes for server in servers), 6)
         self.assertEqual([503] * 10, statuses[-10:])
         refusal = await Client(self.fleet.vms[0].callers).send("p-last", HOST, "/read/poison")
         self.assertIn(b"quarantined", refusal.body)
 
     async def test_explain_reconstructs_a_failed_request_from_the_logs_alone(self):
-        # Whoever is on call has the name of a request that failed and the logs of all VMs, and nothing else.
+        # An operator on call has only the name of the failed request and the logs of all VMs.
         for server in self.fleet.servers("roster"):
             server.fault = Fault(slowness=500)
         answer = await Client(self.fleet.vms[0].callers).send("story-1", HOST, "/lookup/x")
@@ -118,7 +118,7 @@
         result = subprocess.run(command, capture_output=True, text=True, timeout=60)
         self.assertEqual(0, result.returncode, result.stderr)
         self.assertIn("story-1: A request history/", result.stdout)
-        self.assertIn("    20", result.stdout, "the inner call is set in under its request")
+        self.assertIn("    20", result.stdout, "the inner call is indented below its request")
         self.assertIn("A request roster/", result.stdout)
         document = json.loads(subprocess.run([*command, "--json"], capture_output=True, text=True, timeout=60).stdout)
         self.assertEqual({0, 1}, {line["depth"] for line in document["lines"]})
@@ -136,7 +136,7 @@
         vm = self.fleet.vms[0]
         for number in range(5):
             await Client(vm.callers).send(f"n-{number}", HOST, "/lookup/x")
-        # The two of the log are called by no request here, and may be heard of a moment later than the rest.
+        # No request here calls the two log servers, so they may become known slightly later than the others.
         for _ in range(100):
             text = self.metrics(vm)
             if 'egretlatch_members{state="serving"} 6' in text:
@@ -150,7 +150,7 @@
         self.assertRegex(text, r"egretlatch_resident_memory_bytes \d+")
 
     async def test_corrupt_and_extra_answers_reach_no_caller(self):
-        # A caller gets bytes that no server made for it: an answer given twice, one cut short, one without a signature.
+        # Guards against callers that get bytes no server sent for them: an answer sent twice, truncated or without a signature.
         for server in self.fleet.servers("roster"):
             server.fault = Fault(extra=0.3, cut=0.2, unsigned=0.2)
         client = Client(self.fleet.vms[0].callers)
@@ -187,7 +187,7 @@
         await self.expect_no_arrivals_after_late_heartbeat(vm)
 
     async def restart_without_heartbeats(self):
-        """Kills and starts a daemon whose server goes on and has not been heard since."""
+        """Kills and restarts a daemon whose server keeps running but sends no heartbeats."""
         vm = next(vm for vm in self.fleet.vms if vm.server.service == "roster")
         vm.heartbeat_task.cancel()
         await self.restart(vm)
@@ -220,15 +220,15 @@
         self.fleet.signal(vm, signal.SIGTERM)
         await asyncio.sleep(0.1)
         self.assertEqual(503, await post(vm.readiness, "/api/readiness", b"", "GET"))
-        # What still comes before the platform has noticed is served.
+        # Requests that arrive before the platform has noticed are served.
         self.assertEqual(200, (await Client(vm.callers).send("late", HOST, "/read/")).status)
         statuses = [answer.status for answer in await asyncio.gather(*open_requests)]
         self.assertEqual([200] * 4, statuses)
         self.assertEqual(0, await asyncio.to_thread(vm.process.wait, 5))
 
     async def test_a_service_whose_daemons_all_restart_serves_until_they_end(self):
-        # Requests fail for seconds during a planned restart of a small service: all of its daemons say that they leave, and
-        # nobody sends them anything from then on, although their servers go on and their doors are open.
+        # Guards against requests that fail for seconds during a planned restart of a small service: all of its daemons announce
+        # draining, and no daemon calls them any more although their servers still run and their ports still accept calls.
         leaving = [vm for vm in self.fleet.vms if vm.server.service == "roster"]
         for vm in leaving:
             self.fleet.signal(vm, signal.SIGTERM)
@@ -241,8 +241,8 @@
         self.assertEqual([200] * 5, statuses)
 
     async def test_a_daemon_started_again_while_the_store_is_away_finds_the_fleet(self):
-        # After a rolling restart in an outage of the store, a VM refuses all callers until the store is back: a daemon
-        # that has just started knows nobody, and nobody tells it.
+        # Guards against a VM that refuses all callers after a restart during an outage of the store, because the new daemon
+        # knows no member and none contacts it until the store is back.
         vm = self.fleet.vms[0]
         self.fleet.store.fault = "refuse"
         self.fleet.signal(vm, signal.SIGTERM)
@@ -264,10 +264,10 @@
         self.assertEqual([200] * len(self.fleet.vms), statuses)
 
     async def test_a_configuration_is_in_force_in_time_though_all_connections_to_the_store_went_silent(self):
-        """Guards against a call held by the store that is waited for to its end on a connection that is dead."""
+        """Guards against waiting for the end of a long poll of the store on a dead connection."""
         self.fleet.store.silence()
         self.fleet.store.put_configuration(configuration(2, routes(**spec("fresh", "log")), SERVICES))
-        # The time in which silence may be found, and the time for a configuration to be in force.
+        # 3 s to detect the silent connection, and 2 s for the configuration to come into force.
         await asyncio.sleep(3 + 2)
         statuses = [(await Client(vm.callers).send(f"n-{number}", HOST, "/fresh/")).status for number, vm in enumerate(self.fleet.vms)]
         self.assertEqual([200] * len(self.fleet.vms), statuses)
--- a/test/processes/test_soak.py
+++ b/test/processes/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its checks find what they look for, and a short seeded run of real daemons keeps every promise."""
+"""Tests of the soak: its checks detect violations, and short seeded runs of real daemons violate no invariant."""
 
 import asyncio
 import sys
@@ -14,8 +14,9 @@
 from fleet.record import Attempt, Record  # noqa: E402
 from fleet.soak import Soak  # noqa: E402
 
-# Played in every run, each with its cause. Longer ones that once failed stand in test/soak-seeds.json (scripts/soak --known).
-SEEDS = {1: "none: a first seed", 8: "a daemon that had just started forgot the farewell of its server"}
+# Seeds played in every test run, each with the fault that it found. Longer runs that failed in the past are in
+# test/soak-seeds.json (scripts/soak --known).
+SEEDS = {1: "none: a first seed", 8: "a daemon that had just started forgot the deregistration of its server"}
 
 
 def vm_of(service="history"):
@@ -141,7 +142,7 @@
             self.record.called_inner(self.vm.server, f"n{number}.x", f"n{number}", "/read/n")
             self.record.arrived(vm_of("roster").server, f"n{number}.x", request())
         self.record.check_budget()
-        # Four repeats, and two and four fifths are allowed; four inner calls of repeats, and two are.
+        # 4 repeats where 2.8 are allowed, and 4 inner calls of repeats where 2 are allowed.
         self.assertEqual(2, sum(violation.startswith("BUDGET") for violation in self.record.violations))
 
 
--- a/test/processes/test_traces.py
+++ b/test/processes/test_traces.py
@@ -1,4 +1,4 @@
-"""Traces: a span for each hop, in one tree, exported to a collector as OTLP/JSON."""
+"""Tests of traces: a span for each hop, in one tree, exported to a collector as OTLP/JSON."""
 
 import http.server
 import json
@@ -50,7 +50,7 @@
         entry = self.mesh["entries"]["duty-roster"][0]
         status, _, _ = call(f"{entry}/call/flight-history/currency/", b"", {"traceparent": f"00-{TRACE}-{CALLER_SPAN}-01"})
         self.assertEqual(200, status)
-        # entry, attempt, serving for the root, and the same for its one inner call
+        # Spans: entry, attempt and serving for the root, and the same for its one inner call.
         limit = time.monotonic() + TIMEOUT
         while len(self.spans_of_trace()) < 6 and time.monotonic() < limit:
             time.sleep(0.05)
--- a/test/processes/test_whole_path.py
+++ b/test/processes/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole way of a request over separate processes: caller, entry daemon, serving daemon, backend server, answer."""
+"""End-to-end tests of a request over separate processes: caller, entry daemon, serving daemon, backend server, answer."""
 
 import unittest
 
@@ -16,8 +16,8 @@
         self.assertEqual(1, executions(self.mesh["backends"]["launch-log"], "first"))
 
     def test_a_connection_cut_in_the_middle_runs_a_launch_entry_once(self):
-        # A member is billed twice for one launch. The backend server runs the entry and its connection breaks before
-        # the answer; the connection had served an earlier request, and Qt's client then sends the entry again by itself.
+        # Guards against a launch that is billed twice: the backend server runs the entry and its connection breaks before the
+        # answer; if the connection had served an earlier request, Qt's client resends the entry by itself.
         entry = self.mesh["entries"]["flight-history"][0]
         servers = self.mesh["backends"]["launch-log"]
         for number in range(4):
