--- a/standin/fleet/day.py
+++ b/standin/fleet/day.py
@@ -1,4 +1,4 @@
-"""A day of the platform's stand-in: load, faults and counts around real daemons, from a file of our own (deploy/days/)."""
+"""Plays a day file of deploy/days/ (load and faults) against real daemons, and counts the outcomes."""
 
 import asyncio
 import collections
@@ -18,7 +18,7 @@
 
 
 class Tally:
-    """What became of the requests of one route."""
+    """Counts the outcomes of the requests of one route."""
 
     def __init__(self):
         self.sent = 0
@@ -36,7 +36,7 @@
 
 
 class Day:
-    """Plays one day; `policy` replaces the daemons' own, so that a decision can be compared with a baseline."""
+    """Plays one day; `policy` overrides the daemons' default, to compare it with a baseline."""
 
     def __init__(self, binary, path, policy=None, seed=1):
         self.plan = json.loads(pathlib.Path(path).read_text())
@@ -52,7 +52,7 @@
         self.tallies = collections.defaultdict(Tally)
         self.unsafe = []
         self.factor = 1.0
-        self.numbers = 0
+        self.request_count = 0
 
     def configuration(self):
         routes = {name: {**route(HOST, **spec), "prefix": f"/{name}/"} for name, spec in self.plan["routes"].items()}
@@ -66,12 +66,12 @@
             await asyncio.sleep(1.5)
             before = self.processor_seconds()
             calls = [asyncio.ensure_future(self.load(load)) for load in self.plan["load"]]
-            faults = [asyncio.ensure_future(self.strike(event)) for event in self.plan.get("events", [])]
+            faults = [asyncio.ensure_future(self.inject(event)) for event in self.plan.get("events", [])]
             await asyncio.gather(*calls, *faults)
             return self.result(self.processor_seconds() - before)
 
     async def load(self, load):
-        """Sends requests of one route at random times, each on its own, whatever became of those before."""
+        """Sends requests of one route open-loop, with exponential intervals, regardless of earlier outcomes."""
         end = time.monotonic() + self.plan["seconds"]
         sent = []
         while time.monotonic() < end:
@@ -80,7 +80,7 @@
         await asyncio.gather(*sent)
 
     async def request(self, load):
-        """One request with its client's retries, as clients of the platform make them."""
+        """Sends one request with the retries that clients of the platform make."""
         name = load["route"]
         spec = self.plan["routes"][name]
         tally = self.tallies[name]
@@ -89,8 +89,8 @@
         deadline = began + load.get("deadlineMs", 3000) / 1000
         is_safe = spec.get("kind", "idempotent") != "non_idempotent"
         for attempt in range(1 + load.get("retries", 1)):
-            self.numbers += 1
-            answer = await self.attempt(f"d{self.seed}-{self.numbers}", name, is_safe, deadline - time.monotonic())
+            self.request_count += 1
+            answer = await self.attempt(f"d{self.seed}-{self.request_count}", name, is_safe, deadline - time.monotonic())
             if answer.status == 200:
                 tally.served += 1
                 tally.seconds.append(time.monotonic() - began)
@@ -113,42 +113,42 @@
             self.unsafe.append(request)
         vm = self.random.choice([vm for vm in self.fleet.vms if vm.process.poll() is None])
         client = Client(vm.callers)
-        answer = await client.send(request, HOST, f"/{name}/{request}", method="GET" if is_safe else "POST", patience=max(left, 0.001))
+        answer = await client.send(request, HOST, f"/{name}/{request}", method="GET" if is_safe else "POST", timeout=max(left, 0.001))
         client.close()
         return answer
 
-    async def strike(self, event):
-        """Does one event of the plan, and ends it after its time."""
+    async def inject(self, event):
+        """Applies one event of the plan and reverts it after its duration."""
         await asyncio.sleep(event["at"])
         do = event["do"]
         if do == "load":
             self.factor = event["factor"]
         elif do == "store":
-            self.fleet.store.trouble = event["trouble"]
+            self.fleet.store.fault = event["trouble"]
         elif do == "fault":
-            struck = self.chosen(event)
-            for vm in struck:
+            affected = self.select_vms(event)
+            for vm in affected:
                 vm.server.fault = Fault(**event["fault"])
         elif do == "kill":
-            struck = self.chosen(event)
-            for vm in struck:
+            affected = self.select_vms(event)
+            for vm in affected:
                 self.fleet.signal(vm, signal.SIGKILL)
                 vm.process.wait()
         else:
-            raise ValueError(f"no event {do}: load, store, fault or kill")
+            raise ValueError(f"unknown event {do}: expected load, store, fault or kill")
         await asyncio.sleep(event.get("seconds", 1))
         if do == "load":
             self.factor = 1.0
         elif do == "store":
-            self.fleet.store.trouble = None
+            self.fleet.store.fault = None
         elif do == "fault":
-            for vm in struck:
+            for vm in affected:
                 vm.server.fault = Fault()
         else:
-            for vm in struck:
+            for vm in affected:
                 self.fleet.start_daemon(vm)
 
-    def chosen(self, event):
+    def select_vms(self, event):
         vms = [vm for vm in self.fleet.vms if event.get("service") in (None, vm.server.service)]
         return self.random.sample(vms, max(1, round(len(vms) * event.get("share", 0.5))))
 
@@ -167,7 +167,7 @@
             "routes": {name: self.tallies[name].document() for name in sorted(self.tallies)},
             "arrivals": arrivals,
             "rejected": {name: sum(server.rejected for server in self.fleet.servers(name)) for name in self.services},
-            # Must be empty, whatever the day: requests that may run once and ran more often.
+            # Requests that are not idempotent and ran more than once; must be empty on every day.
             "ranTwice": [name for name in self.unsafe if runs[name] > 1],
             "processorMsAnArrival": round(processor_seconds * 1000 / max(1, sum(arrivals.values())), 3),
         }
--- a/standin/fleet/server.py
+++ b/standin/fleet/server.py
@@ -1,4 +1,4 @@
-"""A server of a service: slots and a queue, inner calls, and the faults that servers have."""
+"""Stand-in for a backend server: slots and a queue, inner calls, and injectable faults."""
 
 import asyncio
 import collections
@@ -12,7 +12,7 @@
 
 
 class Fault:
-    """What a server does wrong, each as a share of its answers."""
+    """Injected faults of a server: shares of its answers, a slowdown factor and a crash trigger."""
 
     def __init__(self, **shares):
         self.extra = shares.get("extra", 0.0)
@@ -21,42 +21,42 @@
         self.unsigned = shares.get("unsigned", 0.0)
         self.failed = shares.get("failed", 0.0)
         self.slowness = shares.get("slowness", 1.0)
-        # A word of the path of a request that crashes the server that begins it; it is back after `down` seconds.
+        # Path substring of requests that crash the server when they start; it returns after `down` seconds.
         self.crash_on = shares.get("crash_on", "")
         self.down = shares.get("down", 1.0)
 
 
-class Watch:
-    """Told of all that a server sees; this one forgets it."""
+class Observer:
+    """Receives the events of a server; this base class ignores them."""
 
     def arrived(self, server, name, request):
-        """A request came, whatever becomes of it."""
+        """Called when a request arrives, before it is accepted or rejected."""
 
     def began(self, server, name, request):
-        """A request is run."""
+        """Called when a request starts to run."""
 
     def called_inner(self, server, name, parent, path):
-        """A run makes an inner call."""
+        """Called when a run makes an inner call."""
 
     def answered(self, server, name, status, body):
-        """A run ended; its answer may still be lost or spoiled on its way."""
+        """Called when a run has ended; its answer may still be lost or corrupted by a fault."""
 
 
 class Server:
-    """Runs requests of any kind for `work` seconds by kind; a kind may make calls through the daemon beside the server."""
+    """Runs requests for the `work` seconds of their kind; a kind may make inner calls through the daemon on the same VM."""
 
     def __init__(self, instance, service, address, slots, queue, kinds, seed=1):
         self.instance = instance
         self.service = service
         self.address = address
-        # Where it says that it is reached; a link may stand before it.
+        # Address in its heartbeats; differs from `address` if a link forwards to it.
         self.announced = address
         self.slots = slots
         self.queue = queue
         self.kinds = kinds
         self.outbound = None
         self.random = random.Random(f"{seed}/{instance}")
-        self.watch = Watch()
+        self.observer = Observer()
         self.fault = Fault()
         self.running = 0
         self.waiting = collections.deque()
@@ -67,7 +67,7 @@
         self.cancelled = 0
         self.state = "ready"
         self.sequence = 0
-        self.born = int(time.time() * 1000)
+        self.started_ms = int(time.time() * 1000)
         self.accepts_after_drain = None
         self.crashes = 0
         self.writers = set()
@@ -80,14 +80,14 @@
         self.server.close()
 
     async def crash(self):
-        """Ends as a process that crashes: all connections break, and none is taken until it is back as a new instance."""
+        """Simulates a crash: aborts all connections and accepts none until it returns as a new instance."""
         self.crashes += 1
         self.server.close()
         for writer in list(self.writers):
             writer.transport.abort()
         await asyncio.sleep(self.fault.down)
         self.instance = f"{self.instance.split('+')[0]}+{self.crashes}"
-        self.born = int(time.time() * 1000)
+        self.started_ms = int(time.time() * 1000)
         await self.start()
 
     async def serve(self, reader, writer):
@@ -109,7 +109,7 @@
             writer.write(wire.response(421, {"X-Instance-Id": self.instance, "X-Request-Id": name, "X-Not-Executed": "1"}))
             return True
         self.arrivals += 1
-        self.watch.arrived(self, name, request)
+        self.observer.arrived(self, name, request)
         if self.state != "ready" and self.accepts_after_drain is None:
             self.accepts_after_drain = time.monotonic()
         if self.running >= self.slots and len(self.waiting) >= self.queue:
@@ -117,16 +117,16 @@
             writer.write(wire.response(503, {"X-Not-Executed": "1", "X-Request-Id": name, "X-Server-Load": self.load()}))
             return True
         run = asyncio.ensure_future(self.run(request, name))
-        gone = asyncio.ensure_future(reader.read(1))
-        await asyncio.wait({run, gone}, return_when=asyncio.FIRST_COMPLETED)
+        disconnected = asyncio.ensure_future(reader.read(1))
+        await asyncio.wait({run, disconnected}, return_when=asyncio.FIRST_COMPLETED)
         if not run.done():
             self.cancelled += 1
             run.cancel()
             return False
-        # The reader is back in order for the next request: nothing had come.
-        gone.cancel()
+        # Nothing was read, so the reader is usable for the next request.
+        disconnected.cancel()
         try:
-            await gone
+            await disconnected
         except asyncio.CancelledError:
             pass
         return await self.send(run.result(), name, writer)
@@ -161,7 +161,7 @@
         await self.slot()
         try:
             self.runs[name] += 1
-            self.watch.began(self, name, request)
+            self.observer.began(self, name, request)
             if self.fault.crash_on and self.fault.crash_on in request.target:
                 self.crashing = asyncio.ensure_future(self.crash())
             self.callers.add(request.fields.get("x-caller-service"))
@@ -178,13 +178,13 @@
             self.free()
 
     async def call(self, target, parent, deadline):
-        """Makes an inner call through the daemon beside this server."""
+        """Makes an inner call through the daemon on the same VM; returns whether it was answered 200."""
         host, path = target
         left = int((deadline - time.monotonic()) * 1000)
         if left <= 0:
             return False
         name = f"{parent}.{self.random.getrandbits(64):016x}"
-        self.watch.called_inner(self, name, parent, path)
+        self.observer.called_inner(self, name, parent, path)
         address, port = self.outbound.split(":")
         try:
             reader, writer = await asyncio.open_connection(address, int(port))
@@ -197,7 +197,7 @@
 
     async def send(self, result, name, writer):
         status, body = result
-        self.watch.answered(self, name, status, body)
+        self.observer.answered(self, name, status, body)
         fields = {"X-Request-Id": name, "X-Server-Stamp": f"{self.instance}.{name}", "X-Server-Load": self.load()}
         if self.random.random() < self.fault.lost:
             writer.transport.abort()
@@ -215,29 +215,29 @@
         return True
 
     async def report(self, control, state=None):
-        """Sends one heartbeat; gives the status of the acknowledgement, or None."""
+        """Sends one heartbeat; returns the status of the acknowledgement, or None."""
         self.state = state or self.state
         self.sequence += 1
         return await self.send_heartbeat(control, self.state, self.sequence)
 
     async def report_late(self, control):
-        """Delivers a heartbeat of before it said that it leaves, as one that was held up on its way."""
+        """Sends a heartbeat with a sequence number from before the server announced that it leaves, as if delayed in the network."""
         return await self.send_heartbeat(control, "ready", max(self.sequence - 1, 0))
 
     async def send_heartbeat(self, control, state, sequence):
-        body = {"address": self.announced, "born": self.born,
+        body = {"address": self.announced, "born": self.started_ms,
                 "info": {"service": self.service, "version": "v1", "zone": "z1", "slots": self.slots},
                 "status": {"state": state, "seq": sequence, "cold_remaining": "0ms"}}
         return await post(control, f"/api/instances/{self.instance}/heartbeat", json.dumps(body).encode())
 
-    async def say_farewell(self, control):
-        """Takes itself out of the list; gives the status of the acknowledgement, or None."""
+    async def deregister(self, control):
+        """Deregisters the server; returns the status of the acknowledgement, or None."""
         self.state = "left"
-        return await post(control, f"/api/instances/{self.instance}/deregister", json.dumps({"born": self.born}).encode())
+        return await post(control, f"/api/instances/{self.instance}/deregister", json.dumps({"born": self.started_ms}).encode())
 
 
 async def post(endpoint, path, body, method="POST"):
-    """Makes one call; gives the status, or None if no answer came."""
+    """Makes one HTTP request; returns the status, or None without an answer."""
     host, port = endpoint.split(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
--- a/test/processes/test_sidecar.py
+++ b/test/processes/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The whole path on the users' platform, with real daemons as processes around the stand-in of the platform."""
+"""End-to-end tests of the sidecar, with real daemon processes against the platform stand-in."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
         self.assertEqual([200] * len(self.fleet.vms), statuses)
 
     async def test_an_older_configuration_and_one_that_cannot_be_read_change_nothing(self):
-        # The row holds the newest alone, so each has to be seen before the next is written.
+        # The row holds only the newest version, so each must be seen before the next is written.
         self.fleet.store.put_configuration(configuration(3, routes(**spec("fresh", "log")), SERVICES))
         await asyncio.sleep(1)
         self.fleet.store.put_configuration(configuration(2, routes(), SERVICES))
@@ -54,7 +54,7 @@
         answer = await Client(self.fleet.vms[0].callers).send("n-1", HOST, "/read/")
         self.assertEqual(504, answer.status)
         self.assertLess(answer.seconds, 1)
-        # The run is given up at the server, too.
+        # The run is cancelled at the server too.
         await asyncio.sleep(0.4)
         self.assertGreater(sum(server.cancelled for server in self.fleet.servers("roster")), 0)
 
@@ -62,14 +62,14 @@
         for server in self.fleet.servers("roster"):
             server.fault = Fault(slowness=500)
         client = Client(self.fleet.vms[0].callers)
-        answer = await client.send("n-1", HOST, "/read/", leaves=0.2)
+        answer = await client.send("n-1", HOST, "/read/", disconnect_after=0.2)
         self.assertIsNone(answer.status)
         await asyncio.sleep(0.5)
         self.assertGreater(sum(server.cancelled for server in self.fleet.servers("roster")), 0)
 
     async def test_a_launch_entry_whose_answer_is_lost_runs_once_and_no_refusal_says_otherwise(self):
-        # A member is billed twice for one launch, or told that nothing ran. The server runs the entry and resets the
-        # connection in place of an answer.
+        # Guards against a launch that is billed twice, or refused as not run, after the server ran the entry and reset the
+        # connection instead of answering.
         for server in self.fleet.servers("log"):
             server.fault = Fault(lost=1)
         for number in range(20):
@@ -83,31 +83,31 @@
         statuses = [(await Client(self.fleet.vms[0].callers).send(f"n-{number}", HOST, "/read/")).status for number in range(20)]
         self.assertEqual([200] * 20, statuses)
 
-    async def test_a_request_that_crashes_servers_is_stopped_and_those_beside_it_are_served(self):
-        # One request takes down each server that begins to run it, with all that runs there, and it comes again and again
-        # at any machine of the same service until the one it calls is gone.
+    async def test_a_request_that_crashes_servers_is_quarantined_and_others_are_served(self):
+        # Guards against a request that crashes each server that runs it, with all other runs there, and is resent to the other
+        # VMs of the service until no server is left.
         servers = self.fleet.servers("roster")
         for server in servers:
             server.fault = Fault(crash_on="poison", down=0.3)
-        innocent = Client(self.fleet.vms[1].callers)
+        unrelated = Client(self.fleet.vms[1].callers)
         statuses = []
         for number in range(24):
             poison = await Client(self.fleet.vms[number % 2].callers).send(f"p-{number}", HOST, "/read/poison")
             statuses.append(poison.status)
             for _ in range(20):
-                if (await innocent.send(f"i-{number}-{_}", HOST, "/read/well")).status == 200:
+                if (await unrelated.send(f"i-{number}-{_}", HOST, "/read/well")).status == 200:
                     break
                 await asyncio.sleep(0.2)
             else:
                 self.fail("nothing else is served")
-        # The third crash is known to all within a second; the two servers may be taken down by what comes in that second.
+        # All daemons know of the third crash within a second; requests in that second may crash both servers again.
         self.assertLessEqual(sum(server.crashes for server in servers), 6)
         self.assertEqual([503] * 10, statuses[-10:])
         refusal = await Client(self.fleet.vms[0].callers).send("p-last", HOST, "/read/poison")
         self.assertIn(b"quarantined", refusal.body)
 
-    async def test_the_story_of_a_failed_request_is_told_from_the_logs_alone(self):
-        # Whoever is on call has the name of a request that failed and the logs of all VMs, and nothing else.
+    async def test_explain_reconstructs_a_failed_request_from_the_logs_alone(self):
+        # An operator on call has only the name of the failed request and the logs of all VMs.
         for server in self.fleet.servers("roster"):
             server.fault = Fault(slowness=500)
         answer = await Client(self.fleet.vms[0].callers).send("story-1", HOST, "/lookup/x")
@@ -115,11 +115,11 @@
         await asyncio.sleep(0.5)
         logs = [argument for vm in self.fleet.vms for argument in ("--log", str(vm.log_path))]
         command = [str(BUILD / "egretlatch"), "explain", "story-1", *logs]
-        told = subprocess.run(command, capture_output=True, text=True, timeout=60)
-        self.assertEqual(0, told.returncode, told.stderr)
-        self.assertIn("story-1: A request history/", told.stdout)
-        self.assertIn("    20", told.stdout, "the inner call is set in under its request")
-        self.assertIn("A request roster/", told.stdout)
+        result = subprocess.run(command, capture_output=True, text=True, timeout=60)
+        self.assertEqual(0, result.returncode, result.stderr)
+        self.assertIn("story-1: A request history/", result.stdout)
+        self.assertIn("    20", result.stdout, "the inner call is indented below its request")
+        self.assertIn("A request roster/", result.stdout)
         document = json.loads(subprocess.run([*command, "--json"], capture_output=True, text=True, timeout=60).stdout)
         self.assertEqual({0, 1}, {line["depth"] for line in document["lines"]})
         self.assertEqual("refused", document["lines"][-1]["event"])
@@ -132,11 +132,11 @@
         with urllib.request.urlopen(f"http://{vm.readiness}/metrics", timeout=10) as page:
             return page.read().decode()
 
-    async def test_metrics_tell_the_state_of_a_daemon(self):
+    async def test_metrics_show_the_state_of_a_daemon(self):
         vm = self.fleet.vms[0]
         for number in range(5):
             await Client(vm.callers).send(f"n-{number}", HOST, "/lookup/x")
-        # The two of the log are called by no request here, and may be heard of a moment later than the rest.
+        # No request here calls the two log servers, so they may become known slightly later than the others.
         for _ in range(100):
             text = self.metrics(vm)
             if 'egretlatch_members{state="serving"} 6' in text:
@@ -149,8 +149,8 @@
         self.assertIn('egretlatch_run_duration_seconds_count{service="history"}', text)
         self.assertRegex(text, r"egretlatch_resident_memory_bytes \d+")
 
-    async def test_spoiled_and_extra_answers_reach_nobody(self):
-        # A caller gets bytes that no server made for it: an answer given twice, one cut short, one without a signature.
+    async def test_corrupt_and_extra_answers_reach_no_caller(self):
+        # Guards against callers that get bytes no server sent for them: an answer sent twice, truncated or without a signature.
         for server in self.fleet.servers("roster"):
             server.fault = Fault(extra=0.3, cut=0.2, unsigned=0.2)
         client = Client(self.fleet.vms[0].callers)
@@ -164,7 +164,7 @@
 
     async def test_a_server_that_leaves_gets_nothing_new_after_its_acknowledgement(self):
         vm = next(vm for vm in self.fleet.vms if vm.server.service == "roster")
-        vm.beats.cancel()
+        vm.heartbeat_task.cancel()
         self.assertEqual(200, await vm.server.report(vm.reports, state="draining"))
         await asyncio.sleep(self.drain_seconds())
         before = vm.server.arrivals
@@ -173,23 +173,23 @@
         self.assertEqual({200}, set(statuses))
         self.assertEqual(before, vm.server.arrivals)
 
-    async def test_a_farewell_to_a_daemon_that_has_just_started_is_not_undone_by_a_late_heartbeat(self):
-        vm = await self.restart_beside_silent_server()
-        self.assertEqual(200, await vm.server.say_farewell(vm.reports))
+    async def test_a_late_heartbeat_does_not_undo_a_deregistration_at_a_restarted_daemon(self):
+        vm = await self.restart_without_heartbeats()
+        self.assertEqual(200, await vm.server.deregister(vm.reports))
         await self.expect_no_arrivals_after_late_heartbeat(vm)
 
     async def test_a_server_that_leaves_gets_nothing_though_its_daemon_starts_again(self):
         vm = next(vm for vm in self.fleet.vms if vm.server.service == "roster")
-        vm.beats.cancel()
+        vm.heartbeat_task.cancel()
         self.assertEqual(200, await vm.server.report(vm.reports, state="draining"))
         await asyncio.sleep(0.1)
         await self.restart(vm)
         await self.expect_no_arrivals_after_late_heartbeat(vm)
 
-    async def restart_beside_silent_server(self):
-        """Kills and starts a daemon whose server goes on and has not been heard since."""
+    async def restart_without_heartbeats(self):
+        """Kills and restarts a daemon whose server keeps running but sends no heartbeats."""
         vm = next(vm for vm in self.fleet.vms if vm.server.service == "roster")
-        vm.beats.cancel()
+        vm.heartbeat_task.cancel()
         await self.restart(vm)
         return vm
 
@@ -220,15 +220,15 @@
         self.fleet.signal(vm, signal.SIGTERM)
         await asyncio.sleep(0.1)
         self.assertEqual(503, await post(vm.readiness, "/api/readiness", b"", "GET"))
-        # What still comes before the platform has noticed is served.
+        # Requests that arrive before the platform has noticed are served.
         self.assertEqual(200, (await Client(vm.callers).send("late", HOST, "/read/")).status)
         statuses = [answer.status for answer in await asyncio.gather(*open_requests)]
         self.assertEqual([200] * 4, statuses)
         self.assertEqual(0, await asyncio.to_thread(vm.process.wait, 5))
 
     async def test_a_service_whose_daemons_all_restart_serves_until_they_end(self):
-        # Requests fail for seconds during a planned restart of a small service: all of its daemons say that they leave, and
-        # nobody sends them anything from then on, although their servers go on and their doors are open.
+        # Guards against requests that fail for seconds during a planned restart of a small service: all of its daemons announce
+        # draining, and no daemon calls them any more although their servers still run and their ports still accept calls.
         leaving = [vm for vm in self.fleet.vms if vm.server.service == "roster"]
         for vm in leaving:
             self.fleet.signal(vm, signal.SIGTERM)
@@ -241,10 +241,10 @@
         self.assertEqual([200] * 5, statuses)
 
     async def test_a_daemon_started_again_while_the_store_is_away_finds_the_fleet(self):
-        # After a rolling restart in an outage of the store, a VM refuses all callers until the store is back: a daemon
-        # that has just started knows nobody, and nobody tells it.
+        # Guards against a VM that refuses all callers after a restart during an outage of the store, because the new daemon
+        # knows no member and none contacts it until the store is back.
         vm = self.fleet.vms[0]
-        self.fleet.store.trouble = "refuse"
+        self.fleet.store.fault = "refuse"
         self.fleet.signal(vm, signal.SIGTERM)
         await asyncio.to_thread(vm.process.wait, 5)
         self.fleet.start_daemon(vm)
@@ -252,11 +252,11 @@
         await self.all_known()
 
     async def test_an_outage_of_the_store_stops_nobody(self):
-        for trouble in ("silent", "lose", "refuse"):
-            self.fleet.store.trouble = trouble
+        for fault in ("silent", "lose", "refuse"):
+            self.fleet.store.fault = fault
             await asyncio.sleep(0.5)
-            self.assertEqual(200, (await Client(self.fleet.vms[0].callers).send(trouble, HOST, "/lookup/")).status)
-        self.fleet.store.trouble = None
+            self.assertEqual(200, (await Client(self.fleet.vms[0].callers).send(fault, HOST, "/lookup/")).status)
+        self.fleet.store.fault = None
         self.fleet.store.forget_history()
         self.fleet.store.put_configuration(configuration(2, routes(**spec("fresh", "log")), SERVICES))
         await asyncio.sleep(3)
@@ -264,15 +264,15 @@
         self.assertEqual([200] * len(self.fleet.vms), statuses)
 
     async def test_a_configuration_is_in_force_in_time_though_all_connections_to_the_store_went_silent(self):
-        """Guards against a call held by the store that is waited for to its end on a connection that is dead."""
+        """Guards against waiting for the end of a long poll of the store on a dead connection."""
         self.fleet.store.silence()
         self.fleet.store.put_configuration(configuration(2, routes(**spec("fresh", "log")), SERVICES))
-        # The time in which silence may be found, and the time for a configuration to be in force.
+        # 3 s to detect the silent connection, and 2 s for the configuration to come into force.
         await asyncio.sleep(3 + 2)
         statuses = [(await Client(vm.callers).send(f"n-{number}", HOST, "/fresh/")).status for number, vm in enumerate(self.fleet.vms)]
         self.assertEqual([200] * len(self.fleet.vms), statuses)
 
-    async def test_what_is_no_heartbeat_names_no_server(self):
+    async def test_a_malformed_heartbeat_registers_no_server(self):
         vm = self.fleet.vms[0]
         self.assertEqual(400, await post(vm.reports, "/api/instances/i-x/heartbeat", b"\xff{"))
         self.assertEqual(404, await post(vm.reports, "/api/elsewhere", b"{}"))
