--- a/src/egretlatch/admission/fwd.hpp
+++ b/src/egretlatch/admission/fwd.hpp
@@ -10,11 +10,11 @@
 struct RankClass;
 struct Level;
 struct ReportedLevel;
-struct KindPace;
+struct KindPerformance;
 struct LoadReport;
 struct Ticket;
 struct Observation;
-struct GateAnswer;
+struct GateRefusal;
 struct GateRelease;
 struct EntryRequest;
 struct EntryRefusal;
@@ -40,7 +40,7 @@
 class AdmissionQueue;
 class ChainCosts;
 class CrashSuspects;
-class PaceMeter;
+class PerformanceMeter;
 
 } // namespace egretlatch::admission
 
--- a/src/egretlatch/admission/pace_meter.hpp
+++ b/src/egretlatch/admission/performance_meter.hpp
@@ -1,27 +1,27 @@
-#ifndef EGRETLATCH_ADMISSION_PACE_METER_HPP
-#define EGRETLATCH_ADMISSION_PACE_METER_HPP
+#ifndef EGRETLATCH_ADMISSION_PERFORMANCE_METER_HPP
+#define EGRETLATCH_ADMISSION_PERFORMANCE_METER_HPP
 
 #include <map>
 #include <optional>
 #include <string>
 #include <vector>
 
-#include <egretlatch/admission/kind_pace.hpp>
+#include <egretlatch/admission/kind_performance.hpp>
 
 namespace egretlatch::admission
 {
 
 /*! @brief Measures run times and failures of the local backend server, by kind. */
-class PaceMeter
+class PerformanceMeter
 {
 public:
     /**
      * @brief Records a successful run.
      * @param kind Kind of the request.
-     * @param own Time of the run without its waits for inner calls.
+     * @param ownTime Time of the run without its waits for inner calls.
      * @param now Current time.
      */
-    void noteCompleted(const std::string &kind, Duration own, SteadyTime now);
+    void noteCompleted(const std::string &kind, Duration ownTime, SteadyTime now);
 
     /**
      * @brief Records a run that failed at the server itself.
@@ -33,10 +33,10 @@
     /**
      * @brief Records an abandoned run, whose full time would have been longer.
      * @param kind Kind of the request.
-     * @param own Time of the run so far, without its waits for inner calls.
+     * @param ownTime Time of the run so far, without its waits for inner calls.
      * @param now Current time.
      */
-    void noteAbandoned(const std::string &kind, Duration own, SteadyTime now);
+    void noteAbandoned(const std::string &kind, Duration ownTime, SteadyTime now);
 
     /**
      * @brief Returns the pace of one kind.
@@ -44,26 +44,26 @@
      * @param now Current time.
      * @return The pace, or nothing if there were too few runs or none recently.
      */
-    [[nodiscard]] std::optional<KindPace> paceAt(const std::string &kind, SteadyTime now) const;
+    [[nodiscard]] std::optional<KindPerformance> performanceOf(const std::string &kind, SteadyTime now) const;
 
     /**
      * @brief Returns the paces to be reported to other daemons.
      * @param now Current time.
      * @return The paces of the kinds that ran recently, at most `maxReportedPaces`.
      */
-    [[nodiscard]] std::vector<KindPace> paces(SteadyTime now) const;
+    [[nodiscard]] std::vector<KindPerformance> performance(SteadyTime now) const;
 
     /*! @brief Discards all measurements, because another server has taken the place of the old one. */
     void clear();
 
-    /*! @brief Maximum number of paces reported for one server; each adds about 20 bytes to a message. */
-    static constexpr std::size_t maxReportedPaces = 4;
+    /*! @brief Maximum number of kinds reported for one server; each adds about 20 bytes to a message. */
+    static constexpr std::size_t maxReportedKinds = 4;
 
 private:
     struct Entry
     {
-        Duration own{};
-        double failing{};
+        Duration ownTime{};
+        double failureShare{};
         int runs{};
         SteadyTime last;
     };
--- a/src/egretlatch/cli/explain_command.cpp
+++ b/src/egretlatch/cli/explain_command.cpp
@@ -43,7 +43,7 @@
     void visit(const std::string &prefix, std::string after, const std::string &end, const BatchVisitor &visitor)
     {
         while (true) {
-            const std::optional<store::Reply> reply = ask(store::ObjectList{.prefix = prefix, .after = after, .limit = namesPerPage});
+            const std::optional<store::Reply> reply = send(store::ObjectList{.prefix = prefix, .after = after, .limit = namesPerPage});
             const auto *const names = reply.has_value() ? std::get_if<store::NamesReply>(&*reply) : nullptr;
             if (names == nullptr || names->names.empty()) {
                 return;
@@ -70,7 +70,7 @@
 private:
     [[nodiscard]] bool visitBatch(const std::string &name, const BatchVisitor &visitor)
     {
-        const std::optional<store::Reply> reply = ask(store::ObjectGet{.name = name});
+        const std::optional<store::Reply> reply = send(store::ObjectGet{.name = name});
         if (!reply.has_value()) {
             return false;
         }
@@ -83,11 +83,11 @@
         return visitor(*batch);
     }
 
-    [[nodiscard]] std::optional<store::Reply> ask(const store::Request &request)
+    [[nodiscard]] std::optional<store::Reply> send(const store::Request &request)
     {
         store::Backoff backoff{initialBackoff, maxBackoff};
         for (int attempt = 0; attempt < maxAttempts; ++attempt) {
-            store::Outcome outcome = m_port.ask(request);
+            store::Outcome outcome = m_port.send(request);
             if (outcome.has_value()) {
                 return std::move(*outcome);
             }
--- a/src/egretlatch/cli/http_platform_port.cpp
+++ b/src/egretlatch/cli/http_platform_port.cpp
@@ -13,11 +13,11 @@
 {
 }
 
-store::Outcome HttpPlatformPort::ask(const store::Request &request)
+store::Outcome HttpPlatformPort::send(const store::Request &request)
 {
     QEventLoop loop;
     std::optional<store::Outcome> answer;
-    m_client.ask(request, [&loop, &answer](store::Outcome outcome) {
+    m_client.send(request, [&loop, &answer](store::Outcome outcome) {
         answer = std::move(outcome);
         loop.quit();
     });
--- a/src/egretlatch/cli/http_platform_port.hpp
+++ b/src/egretlatch/cli/http_platform_port.hpp
@@ -17,7 +17,7 @@
      */
     explicit HttpPlatformPort(daemon::PlatformAccess access);
 
-    [[nodiscard]] store::Outcome ask(const store::Request &request) override;
+    [[nodiscard]] store::Outcome send(const store::Request &request) override;
     void wait(Duration span) override;
 
 private:
--- a/src/egretlatch/cli/log_reader.cpp
+++ b/src/egretlatch/cli/log_reader.cpp
@@ -16,7 +16,7 @@
             continue;
         }
         if (textField(fields, "event") == "lines left out") {
-            m_linesLeftOut += static_cast<std::uint64_t>(numberField(fields, "count"));
+            m_linesOmitted += static_cast<std::uint64_t>(numberField(fields, "count"));
         }
         processLine(fields);
     }
@@ -25,8 +25,8 @@
 std::string LogReader::describeGaps() const
 {
     std::string text;
-    if (m_linesLeftOut > 0) {
-        text += fmt::format("incomplete: the logs report that {} lines were left out\n", m_linesLeftOut);
+    if (m_linesOmitted > 0) {
+        text += fmt::format("incomplete: the logs report that {} lines were left out\n", m_linesOmitted);
     }
     if (m_linesUnreadable > 0) {
         text += fmt::format("incomplete: {} lines could not be read\n", m_linesUnreadable);
@@ -36,7 +36,7 @@
 
 void LogReader::addGapCounts(QJsonObject &document) const
 {
-    document[u"linesLeftOut"] = static_cast<qint64>(m_linesLeftOut);
+    document[u"linesLeftOut"] = static_cast<qint64>(m_linesOmitted);
     document[u"linesUnreadable"] = static_cast<qint64>(m_linesUnreadable);
 }
 
--- a/src/egretlatch/cli/log_reader.hpp
+++ b/src/egretlatch/cli/log_reader.hpp
@@ -47,7 +47,7 @@
 
 private:
     std::uint64_t m_linesUnreadable{};
-    std::uint64_t m_linesLeftOut{};
+    std::uint64_t m_linesOmitted{};
 };
 
 } // namespace egretlatch::cli
--- a/src/egretlatch/cli/platform_port.hpp
+++ b/src/egretlatch/cli/platform_port.hpp
@@ -18,7 +18,7 @@
      * @param request The request.
      * @return The outcome.
      */
-    [[nodiscard]] virtual store::Outcome ask(const store::Request &request) = 0;
+    [[nodiscard]] virtual store::Outcome send(const store::Request &request) = 0;
 
     /**
      * @brief Waits between two attempts.
--- a/src/egretlatch/cli/status_command.cpp
+++ b/src/egretlatch/cli/status_command.cpp
@@ -35,11 +35,11 @@
 
 static void addReported(const configuration::Report &report, FleetRows &rows)
 {
-    for (const configuration::ReportedVersion &heard : report.heard) {
-        FleetRow &row = rows.try_emplace(heard.daemon, FleetRow{.version = heard.version, .hash = {}, .age = heard.age}).first->second;
+    for (const configuration::ReportedVersion &reported : report.reported) {
+        FleetRow &row = rows.try_emplace(reported.daemon, FleetRow{.version = reported.version, .hash = {}, .age = reported.age}).first->second;
         // Versions only increase, so the higher of two reported versions is the later one.
-        if (heard.version > row.version) {
-            row = {.version = heard.version, .hash = {}, .age = heard.age};
+        if (reported.version > row.version) {
+            row = {.version = reported.version, .hash = {}, .age = reported.age};
         }
     }
 }
@@ -95,9 +95,9 @@
     report.version = static_cast<std::uint64_t>(value[u"version"].toInteger());
     report.hash = value[u"hash"].toString().toStdString();
     report.newestKnown = static_cast<std::uint64_t>(value[u"newestKnown"].toInteger());
-    const QJsonArray heard = value[u"heard"].toArray();
-    for (const auto &other : heard) {
-        report.heard.push_back({
+    const QJsonArray reported = value[u"heard"].toArray();
+    for (const auto &other : reported) {
+        report.reported.push_back({
             .daemon = {other[u"id"].toString().toStdString()},
             .version = static_cast<std::uint64_t>(other[u"version"].toInteger()),
             .age = std::chrono::milliseconds{other[u"ageMs"].toInteger()},
--- a/src/egretlatch/cli/submit_command.cpp
+++ b/src/egretlatch/cli/submit_command.cpp
@@ -88,12 +88,12 @@
     store::Backoff backoff{internal::initialBackoff, internal::maxBackoff};
     Duration waited{};
     while (true) {
-        const store::Outcome outcome = port.ask(submission.request());
-        const configuration::SubmissionStep step = submission.take(outcome);
+        const store::Outcome outcome = port.send(submission.request());
+        const configuration::SubmissionStep step = submission.handleOutcome(outcome);
         if (step == configuration::SubmissionStep::finished) {
             return internal::describeEnd(request, submission.result());
         }
-        if (step == configuration::SubmissionStep::ask) {
+        if (step == configuration::SubmissionStep::send) {
             continue;
         }
         if (waited >= maxWait) {
@@ -146,7 +146,7 @@
     configuration::SubmissionRequest request;
     request.base = options.base;
     request.manifest = *manifest;
-    request.id = options.submission.empty() ? UuidMint{random}.mint(clock.wallNow()).toString() : options.submission;
+    request.id = options.submission.empty() ? UuidGenerator{random}.generate(clock.wallNow()).toString() : options.submission;
     request.submitter = options.submitter;
     request.submitted = clock.wallNow();
     const CommandResult result = submit(request, *port, random, std::chrono::seconds{options.timeoutSeconds});
--- a/src/egretlatch/configuration/follower.cpp
+++ b/src/egretlatch/configuration/follower.cpp
@@ -25,8 +25,8 @@
 
 } // namespace internal
 
-Follower::Follower(Outlet &outlet, RandomSource &random, FollowerOptions options)
-    : m_outlet{outlet}
+Follower::Follower(FollowerDelegate &delegate, RandomSource &random, FollowerOptions options)
+    : m_delegate{delegate}
     , m_random{random}
     , m_options{std::move(options)}
     , m_pollBackoff{internal::firstRetry, m_options.maxPollInterval}
@@ -57,7 +57,7 @@
     if (!m_options.hasPlatform) {
         return;
     }
-    m_fleet[sender] = {.version = advert.version, .heard = now};
+    m_fleet[sender] = {.version = advert.version, .receivedAt = now};
     const Peer peer{.id = sender, .endpoint = advert.endpoint};
     if (advert.version > m_inForce.version) {
         raiseTarget(advert.version, advert.hash, &peer, now);
@@ -65,11 +65,11 @@
     }
     if (advert.version < m_inForce.version) {
         // A lagging peer gets a reply at once: a daemon that starts while the platform is down has no other source.
-        m_outlet.send(peer, this->advert());
+        m_delegate.send(peer, this->advert());
         return;
     }
     if (advert.hash != m_inForce.hash) {
-        m_outlet.count("same-version-other-hash");
+        m_delegate.count("same-version-other-hash");
     }
 }
 
@@ -87,7 +87,7 @@
 void Follower::handleBodyRequest(const DaemonId &sender, const BodyRequest &request)
 {
     const bool isHeld = m_inForce.version > 0 && request.hash == m_inForce.hash;
-    m_outlet.send({.id = sender, .endpoint = request.endpoint}, BodyReply{.hash = request.hash, .manifest = isHeld ? m_manifest : QByteArray{}});
+    m_delegate.send({.id = sender, .endpoint = request.endpoint}, BodyReply{.hash = request.hash, .manifest = isHeld ? m_manifest : QByteArray{}});
 }
 
 void Follower::handleBodyReply(const DaemonId &sender, const BodyReply &reply, const SteadyTime now)
@@ -124,7 +124,7 @@
     }
     const bool isSame = version == m_target.version && hash == m_target.hash;
     if (version == m_target.version && !isSame && source != nullptr) {
-        m_outlet.count("same-version-other-hash");
+        m_delegate.count("same-version-other-hash");
         return;
     }
     if (!isSame) {
@@ -167,12 +167,12 @@
     m_wasPeerAskedLast = true;
     const Peer &source = m_sources[m_random.below(m_sources.size())];
     m_fetchDue = now + m_options.bodyTimeout;
-    m_outlet.send(source, BodyRequest{.hash = m_target.hash, .endpoint = m_options.endpoint});
+    m_delegate.send(source, BodyRequest{.hash = m_target.hash, .endpoint = m_options.endpoint});
 }
 
 void Follower::fetchFromStore()
 {
-    m_objectRequest = m_outlet.ask(store::ObjectGet{.name = objectName(m_target.hash)});
+    m_objectRequest = m_delegate.sendToPlatform(store::ObjectGet{.name = objectName(m_target.hash)});
 }
 
 void Follower::scheduleFetchRetry(const SteadyTime now)
@@ -187,7 +187,7 @@
     }
     // Bytes from a peer or the store may be truncated, stale or forged; only those with the hash in the head row are accepted.
     if (contentHash(manifest) != m_target.hash) {
-        m_outlet.count("hash-mismatch");
+        m_delegate.count("hash-mismatch");
         scheduleFetchRetry(now);
         return;
     }
@@ -196,13 +196,13 @@
     if (!parsed.has_value()) {
         // The manifest was accepted by a newer version of the program. The current one stays in force, and status shows the lag.
         m_isTargetUnusable = true;
-        m_outlet.count("manifest-not-understood");
+        m_delegate.count("manifest-not-understood");
         return;
     }
     m_inForce = m_target;
     m_manifest = manifest;
     m_sources.clear();
-    m_outlet.putInForce(m_inForce.version, parsed->manifest, source);
+    m_delegate.putInForce(m_inForce.version, parsed->manifest, source);
     advertise(m_options.fanout);
 }
 
@@ -220,7 +220,7 @@
     }
     const std::optional<Head> head = decodeHead(reply->rows.front().value);
     if (!head.has_value()) {
-        m_outlet.count("head-not-understood");
+        m_delegate.count("head-not-understood");
         return;
     }
     raiseTarget(head->version, head->hash, nullptr, now);
@@ -239,23 +239,23 @@
 void Follower::poll(const SteadyTime now)
 {
     schedulePoll(now);
-    m_headRequest = m_outlet.ask(store::TableRead{.key = headKey});
+    m_headRequest = m_delegate.sendToPlatform(store::TableRead{.key = headKey});
 }
 
 void Follower::schedulePoll(const SteadyTime now)
 {
-    const double seconds = static_cast<double>(m_outlet.peers().size() + 1) / m_options.fleetPollsPerSecond;
+    const double seconds = static_cast<double>(m_delegate.peers().size() + 1) / m_options.fleetPollsPerSecond;
     const auto share = std::chrono::duration_cast<Duration>(std::chrono::duration<double>{seconds});
     m_nextPoll = now + internal::jittered(std::clamp(share, m_options.minPollInterval, m_options.maxPollInterval), m_random);
 }
 
 void Follower::advertise(const std::size_t count)
 {
-    std::vector<Peer> peers = m_outlet.peers();
+    std::vector<Peer> peers = m_delegate.peers();
     removeGonePeers(peers);
     for (std::size_t sent = 0; sent < count && !peers.empty(); ++sent) {
         const std::size_t chosen = m_random.below(peers.size());
-        m_outlet.send(peers[chosen], advert());
+        m_delegate.send(peers[chosen], advert());
         peers[chosen] = peers.back();
         peers.pop_back();
     }
--- a/src/egretlatch/configuration/follower.hpp
+++ b/src/egretlatch/configuration/follower.hpp
@@ -9,8 +9,8 @@
 
 #include <QByteArray>
 
+#include <egretlatch/configuration/follower_delegate.hpp>
 #include <egretlatch/configuration/head.hpp>
-#include <egretlatch/configuration/outlet.hpp>
 #include <egretlatch/core/clock.hpp>
 #include <egretlatch/core/random_source.hpp>
 #include <egretlatch/store/backoff.hpp>
@@ -44,7 +44,7 @@
 struct ReceivedVersion
 {
     std::uint64_t version{};
-    SteadyTime heard;
+    SteadyTime receivedAt;
 
     friend bool operator==(const ReceivedVersion &, const ReceivedVersion &) = default;
 };
@@ -60,11 +60,11 @@
 public:
     /**
      * @brief Creates a follower with no configuration in force.
-     * @param outlet Performs its requests and messages; must outlive it.
+     * @param delegate Sends its requests and messages and applies configurations; must outlive it.
      * @param random Source of random numbers; must outlive it.
      * @param options Sources and intervals.
      */
-    Follower(Outlet &outlet, RandomSource &random, FollowerOptions options);
+    Follower(FollowerDelegate &delegate, RandomSource &random, FollowerOptions options);
 
     /**
      * @brief Polls, advertises and retries as far as due.
@@ -161,7 +161,7 @@
     [[nodiscard]] Advert advert() const;
     [[nodiscard]] bool isBehind() const noexcept;
 
-    Outlet &m_outlet;
+    FollowerDelegate &m_delegate;
     RandomSource &m_random;
     FollowerOptions m_options;
     VersionAndHash m_inForce;
--- a/src/egretlatch/configuration/outlet.hpp
+++ b/src/egretlatch/configuration/follower_delegate.hpp
@@ -1,5 +1,5 @@
-#ifndef EGRETLATCH_CONFIGURATION_OUTLET_HPP
-#define EGRETLATCH_CONFIGURATION_OUTLET_HPP
+#ifndef EGRETLATCH_CONFIGURATION_FOLLOWER_DELEGATE_HPP
+#define EGRETLATCH_CONFIGURATION_FOLLOWER_DELEGATE_HPP
 
 #include <cstdint>
 #include <memory>
@@ -28,17 +28,17 @@
 using PeerPayload = std::variant<Advert, BodyRequest, BodyReply>;
 
 /*! @brief Interface by which a Follower sends requests and messages and applies configurations. */
-class Outlet
+class FollowerDelegate
 {
 public:
-    virtual ~Outlet() = default;
+    virtual ~FollowerDelegate() = default;
 
     /**
      * @brief Sends a request to the platform.
      * @param request The request.
      * @return Id that the outcome will carry.
      */
-    [[nodiscard]] virtual store::RequestId ask(store::Request request) = 0;
+    [[nodiscard]] virtual store::RequestId sendToPlatform(store::Request request) = 0;
 
     /**
      * @brief Sends a message to a peer.
@@ -57,9 +57,9 @@
      * @brief Puts a configuration in force.
      * @param version Its version, higher than any previous one.
      * @param manifest The manifest.
-     * @param source Daemon that sent the manifest; empty if it came from the platform.
+     * @param sourceDaemon Daemon that sent the manifest; empty if it came from the platform.
      */
-    virtual void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &source) = 0;
+    virtual void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &sourceDaemon) = 0;
 
     /**
      * @brief Counts an irregular event.
--- a/src/egretlatch/configuration/fwd.hpp
+++ b/src/egretlatch/configuration/fwd.hpp
@@ -16,7 +16,7 @@
 struct SubmissionRequest;
 struct SubmissionResult;
 
-class Outlet;
+class FollowerDelegate;
 class Follower;
 class Submission;
 
--- a/src/egretlatch/configuration/report.hpp
+++ b/src/egretlatch/configuration/report.hpp
@@ -31,7 +31,7 @@
     /*! @brief Newest version that is known to be accepted; above `version` while the daemon lags. */
     std::uint64_t newestKnown{};
     /*! @brief Reports of the other daemons, sorted by id. */
-    std::vector<ReportedVersion> heard;
+    std::vector<ReportedVersion> reported;
 
     friend bool operator==(const Report &, const Report &) = default;
 };
--- a/src/egretlatch/configuration/submission.cpp
+++ b/src/egretlatch/configuration/submission.cpp
@@ -50,7 +50,7 @@
     return m_write->request();
 }
 
-SubmissionStep Submission::take(const store::Outcome &outcome)
+SubmissionStep Submission::handleOutcome(const store::Outcome &outcome)
 {
     if (!outcome.has_value() && internal::isFinal(outcome.error())) {
         return finish(SubmissionEnd::refused);
@@ -59,16 +59,16 @@
         return handleWriteOutcome(outcome);
     }
     if (!outcome.has_value()) {
-        return SubmissionStep::askLater;
+        return SubmissionStep::sendLater;
     }
     if (m_stage == Stage::putManifest) {
         m_write = makeWrite(m_headRowVersion);
         m_stage = Stage::writeHead;
-        return SubmissionStep::ask;
+        return SubmissionStep::send;
     }
     const auto *const rows = std::get_if<store::RowsReply>(&*outcome);
     if (rows == nullptr) {
-        return SubmissionStep::askLater;
+        return SubmissionStep::sendLater;
     }
     return m_stage == Stage::readHead ? handleHeadRow(*rows) : handleVersionRow(*rows);
 }
@@ -86,7 +86,7 @@
     }
     // The version after the base may be this same submission, written by an earlier run whose response was lost.
     m_stage = m_result.newest > m_request.base ? Stage::readVersion : Stage::putManifest;
-    return SubmissionStep::ask;
+    return SubmissionStep::send;
 }
 
 SubmissionStep Submission::handleVersionRow(const store::RowsReply &reply)
@@ -100,11 +100,11 @@
 
 SubmissionStep Submission::handleWriteOutcome(const store::Outcome &outcome)
 {
-    switch (m_write->take(outcome)) {
-    case store::WriteStep::ask:
-        return SubmissionStep::ask;
-    case store::WriteStep::askLater:
-        return SubmissionStep::askLater;
+    switch (m_write->handleOutcome(outcome)) {
+    case store::WriteStep::send:
+        return SubmissionStep::send;
+    case store::WriteStep::sendLater:
+        return SubmissionStep::sendLater;
     case store::WriteStep::applied:
         m_result.newest = std::max(m_result.newest, m_head.version);
         return finish(SubmissionEnd::accepted, m_head);
--- a/src/egretlatch/configuration/submission.hpp
+++ b/src/egretlatch/configuration/submission.hpp
@@ -56,9 +56,9 @@
 /*! @brief Next step of a submission after an outcome. */
 enum class SubmissionStep {
     /*! @brief Send request() at once. */
-    ask,
+    send,
     /*! @brief Send request() after a backoff. */
-    askLater,
+    sendLater,
     /*! @brief The submission has ended; see result(). */
     finished,
 };
@@ -90,7 +90,7 @@
      * @param outcome The outcome.
      * @return The next step.
      */
-    [[nodiscard]] SubmissionStep take(const store::Outcome &outcome);
+    [[nodiscard]] SubmissionStep handleOutcome(const store::Outcome &outcome);
 
     [[nodiscard]] const SubmissionResult &result() const noexcept
     {
--- a/src/egretlatch/core/fwd.hpp
+++ b/src/egretlatch/core/fwd.hpp
@@ -11,7 +11,7 @@
 class RandomSource;
 class Waker;
 class Uuid;
-class UuidMint;
+class UuidGenerator;
 class Secret;
 class Logger;
 
--- a/src/egretlatch/core/logger.hpp
+++ b/src/egretlatch/core/logger.hpp
@@ -54,7 +54,7 @@
 public:
     /**
      * @brief Constructs a logger.
-     * @param least Lines below this level are dropped.
+     * @param minLevel Lines below this level are dropped.
      * @param source Name included in each line, such as the daemon's.
      * @param sink Receives the lines; must outlive the logger.
      */
--- a/src/egretlatch/core/uuid.cpp
+++ b/src/egretlatch/core/uuid.cpp
@@ -114,7 +114,7 @@
     return XXH64(m_bytes.data(), m_bytes.size(), 0);
 }
 
-Uuid UuidMint::mint(const WallTime now)
+Uuid UuidGenerator::generate(const WallTime now)
 {
     constexpr std::uint8_t lowNibble = 0x0f;
     constexpr std::uint8_t variantRest = 0x3f;
--- a/src/egretlatch/core/uuid.hpp
+++ b/src/egretlatch/core/uuid.hpp
@@ -88,14 +88,14 @@
 };
 
 /*! @brief Generates version 7 UUIDs. */
-class UuidMint
+class UuidGenerator
 {
 public:
     /**
      * @brief Constructs a generator.
      * @param random Source of the random bits; must outlive the generator.
      */
-    explicit UuidMint(RandomSource &random)
+    explicit UuidGenerator(RandomSource &random)
         : m_random{random}
     {
     }
@@ -105,7 +105,7 @@
      * @param now Wall clock time to encode, truncated to milliseconds.
      * @return A version 7 UUID.
      */
-    [[nodiscard]] Uuid mint(WallTime now);
+    [[nodiscard]] Uuid generate(WallTime now);
 
 private:
     RandomSource &m_random;
--- a/src/egretlatch/daemon/backend_client.cpp
+++ b/src/egretlatch/daemon/backend_client.cpp
@@ -45,7 +45,7 @@
 
 [[nodiscard]] static decision::RunFailure toRunFailure(const QNetworkReply::NetworkError error)
 {
-    return error == QNetworkReply::ConnectionRefusedError ? decision::RunFailure::neverConnected : decision::RunFailure::lost;
+    return error == QNetworkReply::ConnectionRefusedError ? decision::RunFailure::notConnected : decision::RunFailure::lost;
 }
 
 [[nodiscard]] static decision::RunAnswer toRunAnswer(QNetworkReply &reply, const int status)
--- a/src/egretlatch/daemon/daemon.cpp
+++ b/src/egretlatch/daemon/daemon.cpp
@@ -232,8 +232,8 @@
             });
             continue;
         }
-        const auto &ask = std::get<decision::AskPlatform>(*action);
-        m_platformClient->ask(ask.request, [this, id = ask.id](store::Outcome outcome) {
+        const auto &toPlatform = std::get<decision::SendToPlatform>(*action);
+        m_platformClient->send(toPlatform.request, [this, id = toPlatform.id](store::Outcome outcome) {
             if (!m_eventRings.fromPlatform.tryPush(decision::PlatformAnswered{.id = id, .outcome = std::move(outcome)})) {
                 m_metrics.count("events_dropped", "ring-full");
             }
--- a/src/egretlatch/daemon/decide_thread.cpp
+++ b/src/egretlatch/daemon/decide_thread.cpp
@@ -110,11 +110,11 @@
 void DecideThread::handle(const decision::Event &event)
 {
     for (decision::Action &action : m_core->handle(event)) {
-        carryOut(std::move(action));
+        execute(std::move(action));
     }
 }
 
-void DecideThread::carryOut(decision::Action action)
+void DecideThread::execute(decision::Action action)
 {
     bool isQueued = true;
     if (auto *const answer = std::get_if<decision::AnswerCaller>(&action)) {
@@ -125,7 +125,7 @@
         const ExecutionId execution = start->execution;
         isQueued = m_actionRings.toBackend.tryPush(std::move(*start));
         if (!isQueued) {
-            handle(decision::RunEnded{.execution = execution, .result = decision::RunFailure::neverConnected});
+            handle(decision::RunEnded{.execution = execution, .result = decision::RunFailure::notConnected});
         }
     } else if (const auto *const abort = std::get_if<decision::AbortRun>(&action)) {
         isQueued = m_actionRings.toBackend.tryPush(*abort);
@@ -137,9 +137,9 @@
         }
     } else if (auto *const span = std::get_if<decision::RecordSpan>(&action)) {
         isQueued = m_actionRings.toAccount.tryPush(std::move(*span));
-    } else if (auto *const ask = std::get_if<decision::AskPlatform>(&action)) {
-        const store::RequestId id = ask->id;
-        isQueued = m_actionRings.toPlatform.tryPush(std::move(*ask));
+    } else if (auto *const toPlatform = std::get_if<decision::SendToPlatform>(&action)) {
+        const store::RequestId id = toPlatform->id;
+        isQueued = m_actionRings.toPlatform.tryPush(std::move(*toPlatform));
         if (!isQueued) {
             handle(decision::PlatformAnswered{.id = id, .outcome = tl::unexpected{Error{ErrorCode::unavailable, "the ring to the platform thread is full"}}});
         }
--- a/src/egretlatch/daemon/decide_thread.hpp
+++ b/src/egretlatch/daemon/decide_thread.hpp
@@ -64,7 +64,7 @@
     [[nodiscard]] bool drainRings();
     [[nodiscard]] bool drainRing(Ring<decision::Event> &ring);
     void handle(const decision::Event &event);
-    void carryOut(decision::Action action);
+    void execute(decision::Action action);
     void publishGauges();
     void writeStatus();
     [[nodiscard]] bool sendToPeer(decision::SendToPeer action);
--- a/src/egretlatch/daemon/platform_client.cpp
+++ b/src/egretlatch/daemon/platform_client.cpp
@@ -63,14 +63,14 @@
     m_writes.setFleetSize(daemons);
 }
 
-void PlatformClient::ask(const store::Request &request, OutcomeHandler onOutcome)
+void PlatformClient::send(const store::Request &request, OutcomeHandler onOutcome)
 {
     if (m_access.url.empty()) {
         onOutcome(tl::unexpected{Error{ErrorCode::unavailable, "no platform is configured"}});
         return;
     }
-    store::RateLimiter &cap = store::isWrite(request) ? m_writes : m_reads;
-    if (!cap.tryTake(std::chrono::steady_clock::now())) {
+    store::RateLimiter &limiter = store::isWrite(request) ? m_writes : m_reads;
+    if (!limiter.tryTake(std::chrono::steady_clock::now())) {
         onOutcome(tl::unexpected{Error{ErrorCode::rateLimited, "the local share of the platform's request rate is used up"}});
         return;
     }
--- a/src/egretlatch/daemon/platform_client.hpp
+++ b/src/egretlatch/daemon/platform_client.hpp
@@ -50,7 +50,7 @@
      * @param request Request to send.
      * @param onOutcome Receives the outcome, on this thread.
      */
-    void ask(const store::Request &request, OutcomeHandler onOutcome);
+    void send(const store::Request &request, OutcomeHandler onOutcome);
 
 private:
     PlatformAccess m_access;
--- a/src/egretlatch/daemon/refusal_recorder.cpp
+++ b/src/egretlatch/daemon/refusal_recorder.cpp
@@ -107,7 +107,7 @@
     }
     m_isStoring = true;
     const store::ObjectPut put{.name = account::objectName(*batch), .bytes = account::encodeBatch(*batch)};
-    m_client.ask(put, [this](const store::Outcome &outcome) {
+    m_client.send(put, [this](const store::Outcome &outcome) {
         handleOutcome(outcome);
     });
 }
--- a/src/egretlatch/daemon/rings.hpp
+++ b/src/egretlatch/daemon/rings.hpp
@@ -22,7 +22,7 @@
     int daemons{};
 };
 
-using PlatformAction = std::variant<decision::AskPlatform, FleetSizeChanged>;
+using PlatformAction = std::variant<decision::SendToPlatform, FleetSizeChanged>;
 using CallerAction = std::variant<decision::AnswerCaller, ReadyChanged>;
 using BackendAction = std::variant<decision::StartRun, decision::AbortRun>;
 using AccountAction = std::variant<decision::RecordRefusal, decision::RecordSpan>;
--- a/src/egretlatch/daemon/status_document.cpp
+++ b/src/egretlatch/daemon/status_document.cpp
@@ -27,7 +27,7 @@
 [[nodiscard]] static QJsonObject describe(const configuration::Report &report)
 {
     QJsonArray peerVersions;
-    for (const configuration::ReportedVersion &peerVersion : report.heard) {
+    for (const configuration::ReportedVersion &peerVersion : report.reported) {
         peerVersions.append(QJsonObject{
             {u"id"_qs, toQt(peerVersion.daemon.value)},
             {u"version"_qs, static_cast<qint64>(peerVersion.version)},
--- a/src/egretlatch/decision/action.hpp
+++ b/src/egretlatch/decision/action.hpp
@@ -129,7 +129,7 @@
 };
 
 /*! @brief Sends a request to the platform; a PlatformAnswered with the same id follows. */
-struct AskPlatform
+struct SendToPlatform
 {
     store::RequestId id;
     store::Request request;
@@ -176,7 +176,7 @@
                             RecordRefusal,
                             LogRequest,
                             RecordSpan,
-                            AskPlatform,
+                            SendToPlatform,
                             ManifestInForce,
                             MemberChanged,
                             DepartureReported,
--- a/src/egretlatch/decision/configuration_outlet.cpp
+++ b/src/egretlatch/decision/configuration_delegate.cpp
@@ -1,28 +1,28 @@
-#include <egretlatch/decision/configuration_outlet.hpp>
+#include <egretlatch/decision/configuration_delegate.hpp>
 
 namespace egretlatch::decision
 {
 
-ConfigurationOutlet::ConfigurationOutlet(CoreContext &context, std::vector<configuration::Peer> contacts)
+ConfigurationDelegate::ConfigurationDelegate(CoreContext &context, std::vector<configuration::Peer> contacts)
     : m_context{context}
     , m_contacts{std::move(contacts)}
 {
 }
 
-store::RequestId ConfigurationOutlet::ask(store::Request request)
+store::RequestId ConfigurationDelegate::sendToPlatform(store::Request request)
 {
-    return m_context.askPlatform(std::move(request));
+    return m_context.sendToPlatform(std::move(request));
 }
 
-void ConfigurationOutlet::send(const configuration::Peer &peer, configuration::PeerPayload news)
+void ConfigurationDelegate::send(const configuration::Peer &peer, configuration::PeerPayload message)
 {
     const auto toMessage = [](auto &payload) {
         return protocol::Message{std::move(payload)};
     };
-    m_context.actions.emplace_back(SendToPeer{.to = peer.id, .endpoint = peer.endpoint, .message = std::visit(toMessage, news)});
+    m_context.actions.emplace_back(SendToPeer{.to = peer.id, .endpoint = peer.endpoint, .message = std::visit(toMessage, message)});
 }
 
-std::vector<configuration::Peer> ConfigurationOutlet::peers() const
+std::vector<configuration::Peer> ConfigurationDelegate::peers() const
 {
     std::vector<configuration::Peer> peers;
     for (const DaemonId &id : m_context.roster.participants()) {
@@ -34,12 +34,12 @@
     return peers.empty() ? m_contacts : peers;
 }
 
-void ConfigurationOutlet::putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &sourceDaemon)
+void ConfigurationDelegate::putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &sourceDaemon)
 {
     m_context.putInForce(version, manifest, sourceDaemon);
 }
 
-void ConfigurationOutlet::count(const std::string_view what)
+void ConfigurationDelegate::count(const std::string_view what)
 {
     m_context.metrics.count("configuration", what);
 }
--- a/src/egretlatch/decision/configuration_outlet.hpp
+++ b/src/egretlatch/decision/configuration_delegate.hpp
@@ -1,14 +1,14 @@
-#ifndef EGRETLATCH_DECISION_CONFIGURATION_OUTLET_HPP
-#define EGRETLATCH_DECISION_CONFIGURATION_OUTLET_HPP
+#ifndef EGRETLATCH_DECISION_CONFIGURATION_DELEGATE_HPP
+#define EGRETLATCH_DECISION_CONFIGURATION_DELEGATE_HPP
 
-#include <egretlatch/configuration/outlet.hpp>
+#include <egretlatch/configuration/follower_delegate.hpp>
 #include <egretlatch/decision/core_context.hpp>
 
 namespace egretlatch::decision
 {
 
 /*! @brief Translates the output of the configuration follower into actions of the core. */
-class ConfigurationOutlet final : public configuration::Outlet
+class ConfigurationDelegate final : public configuration::FollowerDelegate
 {
 public:
     /**
@@ -16,10 +16,10 @@
      * @param context State of the core; must outlive the outlet.
      * @param contacts Daemons to use as peers while the roster has none.
      */
-    ConfigurationOutlet(CoreContext &context, std::vector<configuration::Peer> contacts);
+    ConfigurationDelegate(CoreContext &context, std::vector<configuration::Peer> contacts);
 
-    [[nodiscard]] store::RequestId ask(store::Request request) override;
-    void send(const configuration::Peer &peer, configuration::PeerPayload news) override;
+    [[nodiscard]] store::RequestId sendToPlatform(store::Request request) override;
+    void send(const configuration::Peer &peer, configuration::PeerPayload message) override;
     [[nodiscard]] std::vector<configuration::Peer> peers() const override;
     void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &sourceDaemon) override;
     void count(std::string_view what) override;
--- a/src/egretlatch/decision/core.cpp
+++ b/src/egretlatch/decision/core.cpp
@@ -72,8 +72,8 @@
     report.hash = m_context->manifest == nullptr ? std::string{} : m_context->manifest->hash();
     report.newestKnown = std::max(report.version, m_configuration->newestKnown());
     for (const auto &[daemon, entry] : m_configuration->fleet()) {
-        const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry.heard);
-        report.heard.push_back({.daemon = daemon, .version = entry.version, .age = age});
+        const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry.receivedAt);
+        report.reported.push_back({.daemon = daemon, .version = entry.version, .age = age});
     }
     return report;
 }
@@ -228,7 +228,7 @@
 {
     m_configuration->tick(now);
     tickServer(now);
-    m_gossip->setPaces(m_serving->paces(now));
+    m_gossip->setPerformance(m_serving->performance(now));
     m_gossip->tick(now);
     tickContacts(now);
     tickShutdown(now);
@@ -241,7 +241,7 @@
         return;
     }
     if (std::optional<store::Request> request = m_contactBook->tick(m_context->roster.participants().size(), now)) {
-        m_contactRequest = m_context->askPlatform(std::move(*request));
+        m_contactRequest = m_context->sendToPlatform(std::move(*request));
     }
 }
 
@@ -286,8 +286,8 @@
     for (membership::OutgoingGossip &outgoing : effects.messages) {
         m_context->actions.emplace_back(SendToPeer{.to = outgoing.to.id, .endpoint = outgoing.to.endpoint, .message = std::move(outgoing.message)});
     }
-    for (const auto &[daemon, paces] : effects.paces) {
-        m_context->router->notePaces(daemon, paces, now);
+    for (const auto &[daemon, performance] : effects.performance) {
+        m_context->router->notePerformance(daemon, performance, now);
     }
     for (const membership::Rumour &rumour : effects.rumours) {
         handleRumour(rumour, now);
--- a/src/egretlatch/decision/core.hpp
+++ b/src/egretlatch/decision/core.hpp
@@ -7,7 +7,7 @@
 #include <egretlatch/configuration/follower.hpp>
 #include <egretlatch/configuration/report.hpp>
 #include <egretlatch/decision/action.hpp>
-#include <egretlatch/decision/configuration_outlet.hpp>
+#include <egretlatch/decision/configuration_delegate.hpp>
 #include <egretlatch/decision/core_context.hpp>
 #include <egretlatch/decision/drain_times.hpp>
 #include <egretlatch/decision/entry_handler.hpp>
@@ -124,7 +124,7 @@
     std::unique_ptr<CoreContext> m_context;
     std::unique_ptr<ServingHandler> m_serving;
     std::unique_ptr<EntryHandler> m_entry;
-    std::unique_ptr<ConfigurationOutlet> m_configurationOutlet;
+    std::unique_ptr<ConfigurationDelegate> m_configurationDelegate;
     std::unique_ptr<configuration::Follower> m_configuration;
     /*! @brief Separate source, so that gossip does not change the random numbers drawn for calls. */
     std::unique_ptr<RandomSource> m_gossipRandom;
@@ -275,7 +275,7 @@
     std::unique_ptr<admission::EntryControl> m_entryControl;
     std::unique_ptr<admission::Gate> m_gate;
     bool m_followsPlatform{};
-    bool m_isFed{};
+    bool m_receivesManifests{};
     EntryRules m_entryRules;
     DrainTimes m_drainTimes;
     retry::UnownedKeys m_unownedKeys{retry::UnownedKeys::refuse};
--- a/src/egretlatch/decision/core_builder.cpp
+++ b/src/egretlatch/decision/core_builder.cpp
@@ -67,7 +67,7 @@
 
 CoreBuilder &CoreBuilder::setConfigurationFeed()
 {
-    m_isFed = true;
+    m_receivesManifests = true;
     return *this;
 }
 
@@ -129,7 +129,7 @@
         .clock = m_clock,
         .random = m_random,
         .metrics = m_metrics,
-        .mint = UuidMint{m_random},
+        .uuidGenerator = UuidGenerator{m_random},
         .self = m_self.id,
         .incarnation = m_self.incarnation,
         .roster = membership::Roster{m_self},
@@ -159,17 +159,17 @@
     for (const membership::Contact &contact : m_contacts) {
         peers.push_back({.id = contact.id, .endpoint = contact.endpoint});
     }
-    core->m_configurationOutlet = std::make_unique<ConfigurationOutlet>(*core->m_context, std::move(peers));
+    core->m_configurationDelegate = std::make_unique<ConfigurationDelegate>(*core->m_context, std::move(peers));
     configuration::FollowerOptions options;
     options.hasPlatform = m_followsPlatform;
-    options.receivesManifests = m_isFed;
-    if (m_isFed) {
+    options.receivesManifests = m_receivesManifests;
+    if (m_receivesManifests) {
         options.fanout = internal::fedFanout;
         options.advertInterval = internal::fedAdvertInterval;
         options.bodyTimeout = internal::fedBodyTimeout;
     }
     options.endpoint = m_self.endpoint;
-    core->m_configuration = std::make_unique<configuration::Follower>(*core->m_configurationOutlet, m_random, options);
+    core->m_configuration = std::make_unique<configuration::Follower>(*core->m_configurationDelegate, m_random, options);
     core->m_gossipRandom = std::make_unique<SeededRandom>(m_random.next());
     if (m_followsPlatform) {
         core->m_contactBook =
--- a/src/egretlatch/decision/core_context.cpp
+++ b/src/egretlatch/decision/core_context.cpp
@@ -11,7 +11,7 @@
                                      const std::chrono::milliseconds retryAfter)
 {
     return {
-        .id = mint.mint(clock.wallNow()),
+        .id = uuidGenerator.generate(clock.wallNow()),
         .reason = reason,
         .rule = fmt::format("{} (daemon {})", rule, self.value),
         .figures = std::move(figures),
@@ -38,10 +38,10 @@
     actions.emplace_back(ManifestInForce{.version = version, .hash = configuration->hash(), .sourceDaemon = sourceDaemon});
 }
 
-store::RequestId CoreContext::askPlatform(store::Request request)
+store::RequestId CoreContext::sendToPlatform(store::Request request)
 {
     ++lastPlatformRequest.value;
-    actions.emplace_back(AskPlatform{.id = lastPlatformRequest, .request = std::move(request)});
+    actions.emplace_back(SendToPlatform{.id = lastPlatformRequest, .request = std::move(request)});
     return lastPlatformRequest;
 }
 
--- a/src/egretlatch/decision/core_context.hpp
+++ b/src/egretlatch/decision/core_context.hpp
@@ -26,7 +26,7 @@
     const Clock &clock;
     RandomSource &random;
     account::MetricsSink &metrics;
-    UuidMint mint;
+    UuidGenerator uuidGenerator;
     DaemonId self;
     Incarnation incarnation;
     membership::Roster roster;
@@ -75,7 +75,7 @@
      * @param request The request.
      * @return The id that the answer will carry.
      */
-    [[nodiscard]] store::RequestId askPlatform(store::Request request);
+    [[nodiscard]] store::RequestId sendToPlatform(store::Request request);
 };
 
 } // namespace egretlatch::decision
--- a/src/egretlatch/decision/entry_attempts.cpp
+++ b/src/egretlatch/decision/entry_attempts.cpp
@@ -124,7 +124,7 @@
 
 bool EntryHandler::takeRetry(const Pending &pending, const protocol::CallAnswer &answer, const SteadyTime now)
 {
-    if (m_ratio.take(pending.call.service)) {
+    if (m_retryBudget.take(pending.call.service)) {
         return true;
     }
     m_context.metrics.count("retries_denied", pending.call.service);
@@ -194,8 +194,8 @@
 {
     admission::EntryControl &control = *m_context.entryControl;
     control.noteLoad({.service = pending.call.service, .daemon = pending.server, .load = answer.load}, now);
-    if (answer.pace.has_value()) {
-        m_context.router->notePaces(pending.server, {*answer.pace}, now);
+    if (answer.performance.has_value()) {
+        m_context.router->notePerformance(pending.server, {*answer.performance}, now);
     }
     control.noteChain({pending.call.service, pending.call.kind}, answer.chain);
     for (const protocol::ServiceLevel &level : answer.levels) {
@@ -210,7 +210,7 @@
     const std::size_t daemons = m_context.roster.participants().size() + 1;
     if (m_rules.retrySlack.has_value() && daemons != m_fleetSize) {
         m_fleetSize = daemons;
-        m_ratio.setMaxSaved(daemons < 2 ? 0.0 : *m_rules.retrySlack / static_cast<double>(daemons));
+        m_retryBudget.setMaxSaved(daemons < 2 ? 0.0 : *m_rules.retrySlack / static_cast<double>(daemons));
     }
 }
 
--- a/src/egretlatch/decision/entry_handler.cpp
+++ b/src/egretlatch/decision/entry_handler.cpp
@@ -135,9 +135,9 @@
     }
     if (const manifest::ServiceSpec *const service = m_context.manifest->findService(pending.call.service)) {
         if (pending.isCallerRepeat) {
-            m_ratio.charge(service->name);
+            m_retryBudget.charge(service->name);
         } else {
-            m_ratio.noteFirstAttempt(service->name, service->retryRatio);
+            m_retryBudget.noteFirstAttempt(service->name, service->retryRatio);
         }
     }
     makeAttempt(std::move(pending), now);
@@ -185,7 +185,7 @@
         }
         return pending;
     }
-    pending.root = m_context.mint.mint(m_context.clock.wallNow());
+    pending.root = m_context.uuidGenerator.generate(m_context.clock.wallNow());
     pending.rank = m_context.entryControl->rankOf(call.service, call.kind);
     pending.rootCosts = m_context.entryControl->costsOf(call.service, call.kind);
     pending.attemptsLeft = kind.retryBudget;
--- a/src/egretlatch/decision/entry_handler.hpp
+++ b/src/egretlatch/decision/entry_handler.hpp
@@ -137,7 +137,7 @@
 
     [[nodiscard]] std::map<std::string, double> retriesLeft() const
     {
-        return m_ratio.left();
+        return m_retryBudget.left();
     }
 
 private:
@@ -209,7 +209,7 @@
     void shareRetrySlack();
     void handleOwnedKey(Pending pending, const retry::RequestKey &key, SteadyTime now);
     void handleUnownedKey(Pending pending, SteadyTime now);
-    void answerFinding(Pending pending, const retry::KeyLookup &finding, SteadyTime now);
+    void answerFromLedger(Pending pending, const retry::KeyLookup &lookup, SteadyTime now);
     [[nodiscard]] bool inheritAttempts(Pending &pending, const retry::RequestKey &key, std::uint64_t request);
     void beginOwned(Pending pending, std::chrono::milliseconds age, std::uint64_t request, SteadyTime now);
     void forward(Pending pending, const retry::KeyOwner &owner, SteadyTime now);
@@ -251,7 +251,7 @@
     std::unique_ptr<retry::ShardGrants> m_grants;
     SteadyTime m_lastGrants;
     retry::PreferredShards m_preferredShards;
-    retry::RatioBudget m_ratio;
+    retry::RatioBudget m_retryBudget;
     EntryRules m_rules;
     std::size_t m_fleetSize{};
     /*! @brief Time at which each pending call needs handling: its next attempt or its deadline. */
--- a/src/egretlatch/decision/entry_keys.cpp
+++ b/src/egretlatch/decision/entry_keys.cpp
@@ -166,18 +166,18 @@
 {
     const std::uint64_t request = internal::hashOf(pending.call);
     pending.knowledge = retry::KeyKnowledge::owner;
-    retry::KeyLookup finding = m_ledger.find(pending.call.key, ageOf(now), request);
-    if (finding.state == retry::KeyState::closed && finding.attemptsLeft > 0) {
-        pending.attemptsLeft = std::min(pending.attemptsLeft, finding.attemptsLeft - 1);
+    retry::KeyLookup lookup = m_ledger.find(pending.call.key, ageOf(now), request);
+    if (lookup.state == retry::KeyState::closed && lookup.attemptsLeft > 0) {
+        pending.attemptsLeft = std::min(pending.attemptsLeft, lookup.attemptsLeft - 1);
         m_ledger.reopen(pending.call.key);
-        finding = {.state = retry::KeyState::fresh};
+        lookup = {.state = retry::KeyState::fresh};
     }
     // An unknown key without an age counts as new, although it may have been forgotten; this makes the rule unsafe in general.
-    if (finding.state == retry::KeyState::fresh || finding.state == retry::KeyState::forgotten) {
+    if (lookup.state == retry::KeyState::fresh || lookup.state == retry::KeyState::forgotten) {
         beginOwned(std::move(pending), ageOf(now), request, now);
         return;
     }
-    answerFinding(std::move(pending), finding, now);
+    answerFromLedger(std::move(pending), lookup, now);
 }
 
 void EntryHandler::handleOwnedKey(Pending pending, const retry::RequestKey &key, const SteadyTime now)
@@ -199,9 +199,9 @@
     }
     pending.isGranted = key.uuid().has_value();
     retry::KeyLedger &ledger = ledgerOf(pending);
-    const retry::KeyLookup finding = ledger.find(key.text(), key.age(), request);
-    if (finding.state != retry::KeyState::fresh) {
-        answerFinding(std::move(pending), finding, now);
+    const retry::KeyLookup lookup = ledger.find(key.text(), key.age(), request);
+    if (lookup.state != retry::KeyState::fresh) {
+        answerFromLedger(std::move(pending), lookup, now);
         return;
     }
     if (inheritAttempts(pending, key, request)) {
@@ -221,12 +221,12 @@
     if (!previous.has_value()) {
         return true;
     }
-    const retry::KeyLookup previousFinding = ledgerOf(pending).find(previous->text(), previous->age(), request);
-    if (previousFinding.state != retry::KeyState::closed || previousFinding.attemptsLeft <= 0) {
+    const retry::KeyLookup previousLookup = ledgerOf(pending).find(previous->text(), previous->age(), request);
+    if (previousLookup.state != retry::KeyState::closed || previousLookup.attemptsLeft <= 0) {
         return false;
     }
     // A resend by the caller is another attempt of the same request and uses the attempts that the last one left over.
-    pending.attemptsLeft = std::min(pending.attemptsLeft, previousFinding.attemptsLeft - 1);
+    pending.attemptsLeft = std::min(pending.attemptsLeft, previousLookup.attemptsLeft - 1);
     return true;
 }
 
@@ -237,28 +237,28 @@
     admit(std::move(pending), now);
 }
 
-void EntryHandler::answerFinding(Pending pending, const retry::KeyLookup &finding, const SteadyTime now)
+void EntryHandler::answerFromLedger(Pending pending, const retry::KeyLookup &lookup, const SteadyTime now)
 {
-    switch (finding.state) {
+    switch (lookup.state) {
     case retry::KeyState::running:
         join(std::move(pending));
         return;
     case retry::KeyState::answered:
         m_context.metrics.count("key_replays", pending.call.service);
-        finish(std::move(pending), internal::replay(*finding.answer), now);
+        finish(std::move(pending), internal::replay(*lookup.answer), now);
         return;
     case retry::KeyState::closed:
         pending.verdict = Verdict::notRun;
-        pending.nextKey = internal::nextKeyOf(pending.call.key, finding.attemptsLeft);
+        pending.nextKey = internal::nextKeyOf(pending.call.key, lookup.attemptsLeft);
         break;
     case retry::KeyState::mismatched:
-        pending.verdict = finding.verdict;
+        pending.verdict = lookup.verdict;
         break;
     default:
         pending.verdict = Verdict::mayHaveRun;
         break;
     }
-    finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyAlreadyUsed, internal::ruleOf(finding.state)), now);
+    finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyAlreadyUsed, internal::ruleOf(lookup.state)), now);
 }
 
 void EntryHandler::forward(Pending pending, const retry::KeyOwner &owner, const SteadyTime now)
@@ -346,14 +346,14 @@
         return m_preferredShards.contains(shard);
     });
     for (store::Request &request : requests) {
-        const store::RequestId id = m_context.askPlatform(request);
+        const store::RequestId id = m_context.sendToPlatform(request);
         m_grants->noteRequestSent(id, request);
     }
 }
 
 bool EntryHandler::handlePlatform(const PlatformAnswered &answered, const SteadyTime now)
 {
-    return m_grants != nullptr && m_grants->take(answered.id, answered.outcome, now);
+    return m_grants != nullptr && m_grants->handleOutcome(answered.id, answered.outcome, now);
 }
 
 void EntryHandler::join(Pending pending)
--- a/src/egretlatch/decision/event.hpp
+++ b/src/egretlatch/decision/event.hpp
@@ -101,7 +101,7 @@
 /*! @brief Reason that a run has no answer. */
 enum class RunFailure {
     /*! @brief No connection could be opened; nothing was sent. */
-    neverConnected,
+    notConnected,
     /*! @brief The backend server reported, with 503 and `Egretlatch-Verdict: not-run`, that it did not start the request. */
     rejected,
     /*! @brief The connection was lost after the request was sent. */
--- a/src/egretlatch/decision/serving_handler.cpp
+++ b/src/egretlatch/decision/serving_handler.cpp
@@ -35,8 +35,8 @@
         return answer;
     }
     switch (std::get<RunFailure>(result)) {
-    case RunFailure::neverConnected:
-        answer.verdict = retry::verdictOf(retry::AttemptEnd::neverConnected);
+    case RunFailure::notConnected:
+        answer.verdict = retry::verdictOf(retry::AttemptEnd::notConnected);
         answer.refusal = context.refuse(account::RefusalReason::serverLost, "the backend server took no connection");
         break;
     case RunFailure::rejected:
@@ -208,11 +208,11 @@
 {
     const admission::RunOutcome outcome = internal::outcomeOf(ended.result);
     if (outcome != admission::RunOutcome::succeeded && !attempt.hasFailedBelow) {
-        m_paces.noteFailed(attempt.request.kind, now);
+        m_performanceMeter.noteFailed(attempt.request.kind, now);
     }
     // A failed run may have ended before making all its calls.
     if (outcome == admission::RunOutcome::succeeded) {
-        m_paces.noteCompleted(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
+        m_performanceMeter.noteCompleted(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
         m_context.entryControl->noteRun({
             .kind = {attempt.request.service, attempt.request.kind},
             .calls = attempt.innerCalls,
@@ -269,7 +269,7 @@
     if (m_answers++ % internal::answersPerChainReport == 0) {
         answer.chain = m_context.entryControl->learnedChain({attempt.request.service, attempt.request.kind});
     }
-    answer.pace = m_paces.paceAt(attempt.request.kind, now);
+    answer.performance = m_performanceMeter.performanceOf(attempt.request.kind, now);
     answer.slotTime = attempt.innerSlotTime;
     answer.hasFailedBelow = attempt.hasFailedBelow;
     if (attempt.started.has_value()) {
@@ -323,8 +323,8 @@
     answer.call = call;
     answer.receiver = incarnation;
     answer.load = load(now);
-    for (const admission::ServiceLevelReport &news : m_context.entryControl->downstreamLevels(m_context.roster.self().service, now)) {
-        answer.levels.push_back({.service = news.service, .level = news.reported.level, .age = now - news.reported.at});
+    for (const admission::ServiceLevelReport &report : m_context.entryControl->downstreamLevels(m_context.roster.self().service, now)) {
+        answer.levels.push_back({.service = report.service, .level = report.reported.level, .age = now - report.reported.at});
     }
     // The answer returns on the connection that the request arrived on, so no endpoint is needed.
     m_context.actions.emplace_back(SendToPeer{.to = daemon, .endpoint = {}, .message = std::move(answer)});
@@ -380,7 +380,7 @@
         return;
     }
     abandoned.verdict = retry::verdictOf(retry::AttemptEnd::aborted);
-    m_paces.noteAbandoned(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
+    m_performanceMeter.noteAbandoned(attempt.request.kind, now - *attempt.started - attempt.innerWait, now);
     m_context.actions.emplace_back(AbortRun{.execution = execution});
     const admission::Observation observation{
         .outcome = admission::RunOutcome::abandoned, .latency = now - *attempt.started, .waitedForInner = attempt.innerWait};
--- a/src/egretlatch/decision/serving_handler.hpp
+++ b/src/egretlatch/decision/serving_handler.hpp
@@ -8,7 +8,7 @@
 #include <tuple>
 
 #include <egretlatch/admission/gate.hpp>
-#include <egretlatch/admission/pace_meter.hpp>
+#include <egretlatch/admission/performance_meter.hpp>
 #include <egretlatch/decision/core_context.hpp>
 #include <egretlatch/decision/crash_detector.hpp>
 #include <egretlatch/decision/crash_report.hpp>
@@ -143,9 +143,9 @@
      * @param now Current time.
      * @return Its pace for each kind that ran recently.
      */
-    [[nodiscard]] std::vector<admission::KindPace> paces(SteadyTime now) const
+    [[nodiscard]] std::vector<admission::KindPerformance> performance(SteadyTime now) const
     {
-        return m_paces.paces(now);
+        return m_performanceMeter.performance(now);
     }
 
     /**
@@ -241,7 +241,7 @@
     std::map<Origin, ExecutionId> m_byOrigin;
     std::map<std::string, ExecutionId> m_byName;
     retry::ReplayWindow m_window;
-    admission::PaceMeter m_paces;
+    admission::PerformanceMeter m_performanceMeter;
     CrashDetector m_crashDetector;
     std::vector<CrashReport> m_crashReports;
     std::uint64_t m_lastCrashReport{};
--- a/src/egretlatch/decision/serving_runs.cpp
+++ b/src/egretlatch/decision/serving_runs.cpp
@@ -110,7 +110,7 @@
     case RunFailure::lost:
         m_crashDetector.noteLostRun(fingerprint(attempt), now);
         return;
-    case RunFailure::neverConnected:
+    case RunFailure::notConnected:
         recordCrash(m_crashDetector.noteConnectFailure(now));
         return;
     case RunFailure::rejected:
@@ -132,7 +132,7 @@
 
 void ServingHandler::noteServerReplaced(const SteadyTime now)
 {
-    m_paces.clear();
+    m_performanceMeter.clear();
     recordCrash(m_crashDetector.noteReplacement(now));
 }
 
--- a/src/egretlatch/http/client_connection.cpp
+++ b/src/egretlatch/http/client_connection.cpp
@@ -14,24 +14,24 @@
 constexpr std::chrono::milliseconds connectTimeout{1500};
 // Upper bound, and the default if the server announces no timeout. Far below ten seconds, the shortest idle timeout of the
 // servers, since a request that collides with the close may have run.
-constexpr std::chrono::milliseconds maxFreeTime{4000};
+constexpr std::chrono::milliseconds maxIdleTime{4000};
 // Subtracted from the timeout that the server announces, to allow for the round trip.
-constexpr std::chrono::milliseconds freeTimeMargin{700};
+constexpr std::chrono::milliseconds idleTimeMargin{700};
 
-[[nodiscard]] static std::chrono::milliseconds freeTimeOf(const Response &response)
+[[nodiscard]] static std::chrono::milliseconds idleTimeOf(const Response &response)
 {
     const std::string *const value = findHeader(response.headers, "keep-alive");
     const std::size_t position = value == nullptr ? std::string::npos : value->find("timeout=");
     if (position == std::string::npos) {
-        return maxFreeTime;
+        return maxIdleTime;
     }
     constexpr std::size_t prefixSize = 8;
     int seconds = 0;
     const char *const begin = value->data() + position + prefixSize;
     if (std::from_chars(begin, value->data() + value->size(), seconds).ec != std::errc{}) {
-        return maxFreeTime;
+        return maxIdleTime;
     }
-    return std::clamp(std::chrono::milliseconds{std::chrono::seconds{seconds}} - freeTimeMargin, std::chrono::milliseconds{0}, maxFreeTime);
+    return std::clamp(std::chrono::milliseconds{std::chrono::seconds{seconds}} - idleTimeMargin, std::chrono::milliseconds{0}, maxIdleTime);
 }
 
 } // namespace internal
@@ -50,7 +50,7 @@
     m_isBusy = true;
     m_outgoing = std::move(outgoing);
     if (!m_stream.open(endpoint)) {
-        fail(Failure::neverConnected);
+        fail(Failure::notConnected);
     }
 }
 
@@ -81,17 +81,17 @@
     }
     const SteadyTime now = m_clock.steadyNow();
     if (!m_isBusy) {
-        if (now >= m_freeUntil) {
+        if (now >= m_idleUntil) {
             shutDown();
         }
         return;
     }
     if (!m_isOpen && now - m_openedAt > internal::connectTimeout) {
-        fail(Failure::neverConnected);
+        fail(Failure::notConnected);
         return;
     }
     if (now >= m_outgoing.deadline) {
-        fail(m_isOpen ? Failure::timedOut : Failure::neverConnected);
+        fail(m_isOpen ? Failure::timedOut : Failure::notConnected);
     }
 }
 
@@ -139,12 +139,12 @@
         return;
     }
     const bool isReusable = response.keepsConnection && !m_hasForeignAnswer && !m_reader.hasUnparsed();
-    m_freeUntil = m_clock.steadyNow() + internal::freeTimeOf(response);
+    m_idleUntil = m_clock.steadyNow() + internal::idleTimeOf(response);
     m_isBusy = false;
     const auto onResult = std::move(m_outgoing.onResult);
     m_outgoing = {};
     if (isReusable) {
-        m_listener.onFree(*this);
+        m_listener.onIdle(*this);
     } else {
         shutDown();
     }
@@ -157,8 +157,8 @@
         shutDown();
         return;
     }
-    if (end == net::StreamEnd::neverOpened) {
-        fail(Failure::neverConnected);
+    if (end == net::StreamEnd::notConnected) {
+        fail(Failure::notConnected);
         return;
     }
     if (end == net::StreamEnd::finished) {
--- a/src/egretlatch/http/client_connection.hpp
+++ b/src/egretlatch/http/client_connection.hpp
@@ -14,7 +14,7 @@
 /*! @brief Reason why a request has no answer. */
 enum class Failure {
     /*! @brief No connection was established; nothing of the request was sent. */
-    neverConnected,
+    notConnected,
     /*! @brief The connection ended or violated the protocol before the answer was complete; the request may have run. */
     lost,
     /*! @brief The answer was not complete by the deadline; the request may be running. */
@@ -42,7 +42,7 @@
 public:
     virtual ~ClientConnectionListener() = default;
 
-    virtual void onFree(ClientConnection &connection) = 0;
+    virtual void onIdle(ClientConnection &connection) = 0;
 
     /*! @brief Called when the connection is closed; it may be destroyed once the call stack has unwound. */
     virtual void onClosed(ClientConnection &connection) = 0;
@@ -73,15 +73,15 @@
     /*! @brief Enforces the timeouts; call it periodically. */
     void checkTimeouts();
 
-    [[nodiscard]] bool isFree() const noexcept
+    [[nodiscard]] bool isIdle() const noexcept
     {
         return !m_isBusy && !m_isClosed;
     }
 
     /*! @brief Returns the time until which the server is expected to keep the idle connection open. */
-    [[nodiscard]] SteadyTime freeUntil() const noexcept
+    [[nodiscard]] SteadyTime idleUntil() const noexcept
     {
-        return m_freeUntil;
+        return m_idleUntil;
     }
 
     void close();
@@ -106,7 +106,7 @@
     /*! @brief An answer to another request was received, so more may follow and the connection is not reused. */
     bool m_hasForeignAnswer{};
     SteadyTime m_openedAt;
-    SteadyTime m_freeUntil;
+    SteadyTime m_idleUntil;
 };
 
 } // namespace egretlatch::http
--- a/src/egretlatch/http/client_pool.cpp
+++ b/src/egretlatch/http/client_pool.cpp
@@ -13,29 +13,29 @@
 {
 }
 
-TicketId ClientPool::send(OutgoingRequest outgoing)
+ClientRequestId ClientPool::send(OutgoingRequest outgoing)
 {
-    const TicketId ticket{++m_lastTicket};
-    outgoing.onResult = [this, ticket, onResult = std::move(outgoing.onResult)](Outcome result) {
-        m_inFlight.erase(ticket.value);
+    const ClientRequestId id{++m_lastRequest};
+    outgoing.onResult = [this, id, onResult = std::move(outgoing.onResult)](Outcome result) {
+        m_inFlight.erase(id.value);
         onResult(std::move(result));
     };
-    if (ClientConnection *const free = takeFree()) {
-        m_inFlight.emplace(ticket.value, free);
-        free->send(std::move(outgoing));
-        return ticket;
+    if (ClientConnection *const idle = takeIdle()) {
+        m_inFlight.emplace(id.value, idle);
+        idle->send(std::move(outgoing));
+        return id;
     }
     auto connection = std::make_unique<ClientConnection>(m_poller, *this, m_clock, m_limits);
     ClientConnection *const key = connection.get();
     m_connections.emplace(key, std::move(connection));
-    m_inFlight.emplace(ticket.value, key);
+    m_inFlight.emplace(id.value, key);
     key->open(m_endpoint, std::move(outgoing));
-    return ticket;
+    return id;
 }
 
-void ClientPool::cancel(const TicketId ticket)
+void ClientPool::cancel(const ClientRequestId id)
 {
-    const auto found = m_inFlight.find(ticket.value);
+    const auto found = m_inFlight.find(id.value);
     if (found == m_inFlight.end()) {
         return;
     }
@@ -44,10 +44,10 @@
     connection->cancel();
 }
 
-void ClientPool::closeFree()
+void ClientPool::closeIdle()
 {
-    const std::vector<ClientConnection *> free = m_free;
-    for (ClientConnection *const connection : free) {
+    const std::vector<ClientConnection *> idle = m_idle;
+    for (ClientConnection *const connection : idle) {
         connection->close();
     }
 }
@@ -65,13 +65,13 @@
     m_closed.clear();
 }
 
-ClientConnection *ClientPool::takeFree()
+ClientConnection *ClientPool::takeIdle()
 {
     const SteadyTime now = m_clock.steadyNow();
-    while (!m_free.empty()) {
-        ClientConnection *const connection = m_free.back();
-        m_free.pop_back();
-        if (now < connection->freeUntil()) {
+    while (!m_idle.empty()) {
+        ClientConnection *const connection = m_idle.back();
+        m_idle.pop_back();
+        if (now < connection->idleUntil()) {
             return connection;
         }
         connection->close();
@@ -79,14 +79,14 @@
     return nullptr;
 }
 
-void ClientPool::onFree(ClientConnection &connection)
+void ClientPool::onIdle(ClientConnection &connection)
 {
-    m_free.push_back(&connection);
+    m_idle.push_back(&connection);
 }
 
 void ClientPool::onClosed(ClientConnection &connection)
 {
-    std::erase(m_free, &connection);
+    std::erase(m_idle, &connection);
     const auto found = m_connections.find(&connection);
     if (found != m_connections.end()) {
         m_closed.push_back(std::move(found->second));
--- a/src/egretlatch/http/client_pool.hpp
+++ b/src/egretlatch/http/client_pool.hpp
@@ -12,11 +12,11 @@
 {
 
 /*! @brief Identifier of a request passed to a ClientPool. */
-struct TicketId
+struct ClientRequestId
 {
     std::uint64_t value{};
 
-    friend auto operator<=>(const TicketId &, const TicketId &) = default;
+    friend auto operator<=>(const ClientRequestId &, const ClientRequestId &) = default;
 };
 
 /**
@@ -41,35 +41,35 @@
      * @param outgoing The request; its result may be delivered before this returns.
      * @return Identifier for cancel().
      */
-    TicketId send(OutgoingRequest outgoing);
+    ClientRequestId send(OutgoingRequest outgoing);
 
     /**
      * @brief Closes the connection of a request in progress; no result follows.
-     * @param ticket The request; ignored if it has ended.
+     * @param id The request; ignored if it has ended.
      */
-    void cancel(TicketId ticket);
+    void cancel(ClientRequestId id);
 
     /*! @brief Closes the idle connections, for example when another server takes over the address. */
-    void closeFree();
+    void closeIdle();
 
     /*! @brief Enforces timeouts and destroys closed connections; call it a few times per second. */
     void tick();
 
 private:
-    void onFree(ClientConnection &connection) override;
+    void onIdle(ClientConnection &connection) override;
     void onClosed(ClientConnection &connection) override;
-    [[nodiscard]] ClientConnection *takeFree();
+    [[nodiscard]] ClientConnection *takeIdle();
 
     net::Poller &m_poller;
     const Clock &m_clock;
     net::Endpoint m_endpoint;
     ReadLimits m_limits;
     std::unordered_map<ClientConnection *, std::unique_ptr<ClientConnection>> m_connections;
-    /*! @brief Free connections; the most recently used one is last, as the server is least likely to have closed it. */
-    std::vector<ClientConnection *> m_free;
+    /*! @brief Idle connections; the most recently used one is last, as the server is least likely to have closed it. */
+    std::vector<ClientConnection *> m_idle;
     std::unordered_map<std::uint64_t, ClientConnection *> m_inFlight;
     std::vector<std::unique_ptr<ClientConnection>> m_closed;
-    std::uint64_t m_lastTicket{};
+    std::uint64_t m_lastRequest{};
 };
 
 } // namespace egretlatch::http
--- a/src/egretlatch/http/fwd.hpp
+++ b/src/egretlatch/http/fwd.hpp
@@ -6,7 +6,7 @@
 
 struct Request;
 struct Response;
-struct RequestLimits;
+struct ReadLimits;
 struct ServerLimits;
 enum class Failure;
 class AnswerQueue;
--- a/src/egretlatch/membership/gossip.cpp
+++ b/src/egretlatch/membership/gossip.cpp
@@ -50,8 +50,8 @@
     // Read before the message is merged: the message ends the suspicion here, but the sender must still refute it elsewhere.
     const std::optional<Suspicion> suspicion = suspicionOf(sender);
     mergeUpdates(sender, message, now);
-    if (!message.paces.empty()) {
-        m_effects.paces.emplace_back(sender, message.paces);
+    if (!message.performance.empty()) {
+        m_effects.performance.emplace_back(sender, message.performance);
     }
     switch (message.purpose) {
     case GossipPurpose::news:
@@ -342,7 +342,7 @@
     GossipMessage message;
     message.purpose = purpose;
     message.members.push_back(m_roster.self());
-    message.paces = m_paces;
+    message.performance = m_performance;
     addUpdates(message, now);
     return message;
 }
--- a/src/egretlatch/membership/gossip.hpp
+++ b/src/egretlatch/membership/gossip.hpp
@@ -25,8 +25,8 @@
     std::vector<OutgoingGossip> messages;
     /*! @brief Received rumours that were new to this daemon. */
     std::vector<Rumour> rumours;
-    /*! @brief Paces that other daemons reported for their backend servers. */
-    std::vector<std::pair<DaemonId, std::vector<admission::KindPace>>> paces;
+    /*! @brief Performance that other daemons reported for their backend servers. */
+    std::vector<std::pair<DaemonId, std::vector<admission::KindPerformance>>> performance;
     bool haveMembersChanged{};
 };
 
@@ -100,12 +100,12 @@
     }
 
     /**
-     * @brief Sets the paces that are sent with each message.
-     * @param paces Paces of the local backend server, by kind.
+     * @brief Sets the performance that is sent with each message.
+     * @param performance Performance of the local backend server, by kind.
      */
-    void setPaces(std::vector<admission::KindPace> paces)
+    void setPerformance(std::vector<admission::KindPerformance> performance)
     {
-        m_paces = std::move(paces);
+        m_performance = std::move(performance);
     }
 
 private:
@@ -140,7 +140,7 @@
     StatePull m_statePull;
     PingRelays m_relays;
     GossipEffects m_effects;
-    std::vector<admission::KindPace> m_paces;
+    std::vector<admission::KindPerformance> m_performance;
     std::optional<SteadyTime> m_lastTick;
     SteadyTime m_nextBeat;
     SteadyTime m_nextSpread;
--- a/src/egretlatch/membership/gossip_message.hpp
+++ b/src/egretlatch/membership/gossip_message.hpp
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <vector>
 
-#include <egretlatch/admission/kind_pace.hpp>
+#include <egretlatch/admission/kind_performance.hpp>
 #include <egretlatch/core/ids.hpp>
 #include <egretlatch/membership/member.hpp>
 #include <egretlatch/membership/rumour.hpp>
@@ -48,8 +48,8 @@
     std::vector<Member> members;
     std::vector<Suspicion> suspicions;
     std::vector<Rumour> rumours;
-    /*! @brief Paces of the sender's backend server, by kind. */
-    std::vector<admission::KindPace> paces;
+    /*! @brief Performance of the sender's backend server, by kind. */
+    std::vector<admission::KindPerformance> performance;
 
     friend bool operator==(const GossipMessage &, const GossipMessage &) = default;
 };
--- a/src/egretlatch/membership/state_pull.cpp
+++ b/src/egretlatch/membership/state_pull.cpp
@@ -33,7 +33,7 @@
 
 void StatePull::begin(const DaemonId &from, const SteadyTime now)
 {
-    m_pull = Pull{.from = from, .page = 0, .nextRequest = now, .asked = std::nullopt};
+    m_pull = Pull{.from = from, .page = 0, .nextRequest = now, .requestedAt = std::nullopt};
     m_lastBegin = now;
 }
 
@@ -42,8 +42,8 @@
     if (!m_pull.has_value()) {
         return std::nullopt;
     }
-    if (m_pull->asked.has_value()) {
-        if (now - *m_pull->asked >= internal::replyTimeout) {
+    if (m_pull->requestedAt.has_value()) {
+        if (now - *m_pull->requestedAt >= internal::replyTimeout) {
             end(now);
         }
         return std::nullopt;
@@ -51,13 +51,13 @@
     if (now < m_pull->nextRequest) {
         return std::nullopt;
     }
-    m_pull->asked = now;
+    m_pull->requestedAt = now;
     return PullRequest{.from = m_pull->from, .page = m_pull->page};
 }
 
 void StatePull::handleReply(const DaemonId &from, const std::uint32_t page, const bool hasMore, const SteadyTime now)
 {
-    if (!m_pull.has_value() || m_pull->from != from || m_pull->page != page || !m_pull->asked.has_value()) {
+    if (!m_pull.has_value() || m_pull->from != from || m_pull->page != page || !m_pull->requestedAt.has_value()) {
         return;
     }
     if (!hasMore) {
@@ -65,7 +65,7 @@
         return;
     }
     ++m_pull->page;
-    m_pull->asked.reset();
+    m_pull->requestedAt.reset();
     m_pull->nextRequest = now + internal::pageInterval;
 }
 
--- a/src/egretlatch/membership/state_pull.hpp
+++ b/src/egretlatch/membership/state_pull.hpp
@@ -78,7 +78,7 @@
         DaemonId from;
         std::uint32_t page{};
         SteadyTime nextRequest;
-        std::optional<SteadyTime> asked;
+        std::optional<SteadyTime> requestedAt;
     };
 
     void end(SteadyTime now);
--- a/src/egretlatch/net/tcp_stream.cpp
+++ b/src/egretlatch/net/tcp_stream.cpp
@@ -137,7 +137,7 @@
     socklen_t size = sizeof error;
     getsockopt(m_descriptor, SOL_SOCKET, SO_ERROR, &error, &size);
     if (error != 0) {
-        end(StreamEnd::neverOpened);
+        end(StreamEnd::notConnected);
         return;
     }
     m_isConnecting = false;
--- a/src/egretlatch/net/tcp_stream.hpp
+++ b/src/egretlatch/net/tcp_stream.hpp
@@ -18,7 +18,7 @@
     /*! @brief Reset or timeout: bytes may be missing. */
     broken,
     /*! @brief The connection was never established; nothing was sent. */
-    neverOpened,
+    notConnected,
 };
 
 /*! @brief Receives the events of a stream; may destroy the stream in onEnd() only. */
--- a/src/egretlatch/platform/bounds.cpp
+++ b/src/egretlatch/platform/bounds.cpp
@@ -21,10 +21,10 @@
 
 } // namespace internal
 
-settings::FleetBounds readBounds(const std::vector<std::string> &texts)
+settings::FleetBounds readBounds(const std::vector<std::string> &entries)
 {
     settings::FleetBounds bounds;
-    for (const std::string &text : texts) {
+    for (const std::string &text : entries) {
         const std::size_t equals = text.find('=');
         if (equals == std::string::npos) {
             continue;
--- a/src/egretlatch/platform/bounds.hpp
+++ b/src/egretlatch/platform/bounds.hpp
@@ -12,10 +12,10 @@
 
 /**
  * @brief Parses the bounds that the platform sets for each daemon.
- * @param texts Entries of the form `name=value`; unknown names and invalid values are ignored.
+ * @param entries Entries of the form `name=value`; unknown names and invalid values are ignored.
  * @return The bounds, with defaults for missing entries.
  */
-[[nodiscard]] settings::FleetBounds readBounds(const std::vector<std::string> &texts);
+[[nodiscard]] settings::FleetBounds readBounds(const std::vector<std::string> &entries);
 
 } // namespace egretlatch::platform
 
--- a/src/egretlatch/platform/fwd.hpp
+++ b/src/egretlatch/platform/fwd.hpp
@@ -5,8 +5,8 @@
 {
 
 struct CallerRequest;
-struct ConfigurationRow;
-struct FeedPage;
+struct AcceptedConfiguration;
+struct ConfigurationPage;
 struct Bounds;
 struct ServerReport;
 enum class ServerReportState;
--- a/src/egretlatch/protocol/call_codec.cpp
+++ b/src/egretlatch/protocol/call_codec.cpp
@@ -175,18 +175,18 @@
     return verdict == wire::VERDICT_NOT_RUN ? Verdict::notRun : Verdict::mayHaveRun;
 }
 
-void write(const admission::KindPace &pace, wire::Pace &wire)
+void write(const admission::KindPerformance &performance, wire::Pace &wire)
 {
-    wire.set_kind(pace.kind);
-    wire.set_own_ns(pace.own.count());
-    wire.set_failing(pace.failing);
+    wire.set_kind(performance.kind);
+    wire.set_own_ns(performance.ownTime.count());
+    wire.set_failing(performance.failureShare);
 }
 
-admission::KindPace read(const wire::Pace &wire)
+admission::KindPerformance read(const wire::Pace &wire)
 {
     // Clamps values to their bounds; a NaN becomes the lower bound.
-    const double failing = wire.failing() > 0.0 ? std::min(wire.failing(), 1.0) : 0.0;
-    return {.kind = wire.kind(), .own = std::max(Duration{wire.own_ns()}, Duration{}), .failing = failing};
+    const double failureShare = wire.failing() > 0.0 ? std::min(wire.failing(), 1.0) : 0.0;
+    return {.kind = wire.kind(), .ownTime = std::max(Duration{wire.own_ns()}, Duration{}), .failureShare = failureShare};
 }
 
 void write(const CallAnswer &answer, wire::CallAnswer &wire)
@@ -206,8 +206,8 @@
     wire.set_next_key(answer.nextKey);
     wire.set_has_reached_server(answer.hasReachedServer);
     wire.set_has_failed_below(answer.hasFailedBelow);
-    if (answer.pace.has_value()) {
-        write(*answer.pace, *wire.mutable_pace());
+    if (answer.performance.has_value()) {
+        write(*answer.performance, *wire.mutable_pace());
     }
     for (const auto &[service, slotTime] : answer.chain) {
         wire::ChainStop &added = *wire.add_chain();
@@ -245,7 +245,7 @@
     answer.hasReachedServer = wire.has_reached_server();
     answer.hasFailedBelow = wire.has_failed_below();
     if (wire.has_pace()) {
-        answer.pace = read(wire.pace());
+        answer.performance = read(wire.pace());
     }
     for (const wire::ChainStop &stop : wire.chain()) {
         answer.chain[stop.service()] = toDuration(stop.slot_time_ns());
--- a/src/egretlatch/protocol/codec_parts.hpp
+++ b/src/egretlatch/protocol/codec_parts.hpp
@@ -54,8 +54,8 @@
 [[nodiscard]] Result<Message> read(const wire::CallRequest &wire);
 void write(const CallAnswer &answer, wire::CallAnswer &wire);
 [[nodiscard]] Result<Message> read(const wire::CallAnswer &wire);
-void write(const admission::KindPace &pace, wire::Pace &wire);
-[[nodiscard]] admission::KindPace read(const wire::Pace &wire);
+void write(const admission::KindPerformance &performance, wire::Pace &wire);
+[[nodiscard]] admission::KindPerformance read(const wire::Pace &wire);
 
 /*! @brief Converts gossip; defined in fleet_codec.cpp. */
 void write(const Gossip &gossip, wire::Gossip &wire);
--- a/src/egretlatch/protocol/fleet_codec.cpp
+++ b/src/egretlatch/protocol/fleet_codec.cpp
@@ -115,8 +115,8 @@
     for (const membership::Rumour &rumour : gossip.rumours) {
         write(rumour, *wire.add_rumours());
     }
-    for (const admission::KindPace &pace : gossip.paces) {
-        write(pace, *wire.add_paces());
+    for (const admission::KindPerformance &performance : gossip.performance) {
+        write(performance, *wire.add_paces());
     }
 }
 
@@ -148,8 +148,8 @@
             gossip.rumours.push_back(std::move(*read));
         }
     }
-    for (const auto &pace : wire.paces()) {
-        gossip.paces.push_back(read(pace));
+    for (const auto &performance : wire.paces()) {
+        gossip.performance.push_back(read(performance));
     }
     return gossip;
 }
--- a/src/egretlatch/protocol/messages.hpp
+++ b/src/egretlatch/protocol/messages.hpp
@@ -101,8 +101,8 @@
     std::vector<ServiceLevel> levels;
     /*! @brief Slot time that a request of the kind uses at each service down its chain; included only in some answers. */
     admission::SlotTimeByService chain;
-    /*! @brief Pace of the backend server for the kind that was called, if known. */
-    std::optional<admission::KindPace> pace;
+    /*! @brief Performance of the backend server for the kind that was called, if known. */
+    std::optional<admission::KindPerformance> performance;
 
     friend bool operator==(const CallAnswer &, const CallAnswer &) = default;
 };
--- a/src/egretlatch/retry/shard_grants.cpp
+++ b/src/egretlatch/retry/shard_grants.cpp
@@ -123,7 +123,7 @@
     m_pending.emplace(id, shardOfRow(key));
 }
 
-bool ShardGrants::take(const store::RequestId id, const store::Outcome &outcome, const SteadyTime now)
+bool ShardGrants::handleOutcome(const store::RequestId id, const store::Outcome &outcome, const SteadyTime now)
 {
     const auto found = m_pending.find(id);
     if (found == m_pending.end()) {
@@ -169,10 +169,10 @@
 void ShardGrants::finishWriteStep(Shard &shard, const store::Outcome &outcome, const SteadyTime now)
 {
     shard.isRequestPending = false;
-    switch (shard.write->take(outcome)) {
-    case store::WriteStep::ask:
+    switch (shard.write->handleOutcome(outcome)) {
+    case store::WriteStep::send:
         return;
-    case store::WriteStep::askLater:
+    case store::WriteStep::sendLater:
         shard.nextRequestAt =
             now + m_times.retryInterval / 2 + std::chrono::milliseconds{m_random.below(static_cast<std::uint64_t>(m_times.retryInterval.count()))};
         return;
--- a/src/egretlatch/retry/shard_grants.hpp
+++ b/src/egretlatch/retry/shard_grants.hpp
@@ -87,7 +87,7 @@
      * @param now Steady time.
      * @return True if the request was sent by this instance.
      */
-    bool take(store::RequestId id, const store::Outcome &outcome, SteadyTime now);
+    bool handleOutcome(store::RequestId id, const store::Outcome &outcome, SteadyTime now);
 
     /*! @brief Starts leaving: acquires no more shards and ends own grants early. */
     void leave();
--- a/src/egretlatch/retry/verdict_rules.cpp
+++ b/src/egretlatch/retry/verdict_rules.cpp
@@ -13,7 +13,7 @@
     case AttemptEnd::neverSent:
     case AttemptEnd::refusedOnArrival:
     case AttemptEnd::removedFromQueue:
-    case AttemptEnd::neverConnected:
+    case AttemptEnd::notConnected:
     case AttemptEnd::rejectedByServer:
     case AttemptEnd::missedEarlierIncarnation:
         return Verdict::notRun;
--- a/src/egretlatch/retry/verdict_rules.hpp
+++ b/src/egretlatch/retry/verdict_rules.hpp
@@ -19,7 +19,7 @@
     /*! @brief The call was removed from the queue before it was started. */
     removedFromQueue,
     /*! @brief The backend server accepted no connection. */
-    neverConnected,
+    notConnected,
     /*! @brief The backend server reported that it didn't start the request. */
     rejectedByServer,
     /*! @brief The connection was lost after the request was sent. */
--- a/src/egretlatch/routing/adaptive_router.cpp
+++ b/src/egretlatch/routing/adaptive_router.cpp
@@ -63,7 +63,7 @@
         if (entry.second.isServing || entry.second.record.inFlight() > 0) {
             return false;
         }
-        m_services[entry.second.service].paces.forget(entry.first);
+        m_services[entry.second.service].performance.forget(entry.first);
         return true;
     });
     for (auto &[name, service] : m_services) {
@@ -99,7 +99,7 @@
         .isServing = true,
         .record = ServerRecord{member.slots, now, isCold},
     };
-    m_services[member.service].paces.forget(member.id);
+    m_services[member.service].performance.forget(member.id);
     m_servers.insert_or_assign(member.id, std::move(server));
 }
 
@@ -159,14 +159,14 @@
 
 AdaptiveRouter::Milliseconds AdaptiveRouter::expectedLatency(const Service &service, const std::string &kind, const DaemonId &id, const SteadyTime now) const
 {
-    const Duration average = std::max(service.averages.latency(kind), service.paces.mean(kind));
+    const Duration average = std::max(service.averages.latency(kind), service.performance.mean(kind));
     const Duration minimum = std::chrono::duration_cast<Duration>(average * internal::minTimeRatio);
-    const Milliseconds unloaded = std::max(average + service.paces.excessTime(id, kind, now), minimum);
+    const Milliseconds unloaded = std::max(average + service.performance.excessTime(id, kind, now), minimum);
     // Servers slow down under load, and calls beyond their slots are queued. The quadratic term keeps a single fast server
     // from getting all calls.
     const double load = m_servers.at(id).record.load(now);
     // A failed call has to be retried or fails its caller, so failures count as extra latency.
-    return unloaded * (1.0 + load * load) * (1.0 + internal::failurePenalty * service.paces.failureShare(id, kind, now));
+    return unloaded * (1.0 + load * load) * (1.0 + internal::failurePenalty * service.performance.failureShare(id, kind, now));
 }
 
 bool AdaptiveRouter::isFarPreferable(const Service &service, const std::string &kind, const Choice &near, const Choice &far)
@@ -203,14 +203,14 @@
     ejectOutlier(service, daemon, now);
 }
 
-void AdaptiveRouter::notePaces(const DaemonId &daemon, const std::vector<admission::KindPace> &paces, const SteadyTime now)
+void AdaptiveRouter::notePerformance(const DaemonId &daemon, const std::vector<admission::KindPerformance> &performance, const SteadyTime now)
 {
     const auto found = m_servers.find(daemon);
     if (found == m_servers.end()) {
         return;
     }
-    for (const admission::KindPace &pace : paces) {
-        m_services[found->second.service].paces.note(daemon, pace, now);
+    for (const admission::KindPerformance &entry : performance) {
+        m_services[found->second.service].performance.note(daemon, entry, now);
     }
 }
 
--- a/src/egretlatch/routing/adaptive_router.hpp
+++ b/src/egretlatch/routing/adaptive_router.hpp
@@ -6,7 +6,7 @@
 #include <egretlatch/core/random_source.hpp>
 #include <egretlatch/routing/kind_averages.hpp>
 #include <egretlatch/routing/router.hpp>
-#include <egretlatch/routing/server_paces.hpp>
+#include <egretlatch/routing/server_performance.hpp>
 #include <egretlatch/routing/server_record.hpp>
 
 namespace egretlatch::routing
@@ -32,7 +32,7 @@
     void setMembers(const std::vector<membership::Member> &members, SteadyTime now) override;
     [[nodiscard]] std::optional<DaemonId> choose(const RouteRequest &request, SteadyTime now) override;
     void noteResult(const DaemonId &daemon, const AttemptResult &result, SteadyTime now) override;
-    void notePaces(const DaemonId &daemon, const std::vector<admission::KindPace> &paces, SteadyTime now) override;
+    void notePerformance(const DaemonId &daemon, const std::vector<admission::KindPerformance> &performance, SteadyTime now) override;
 
 private:
     using Milliseconds = std::chrono::duration<double, std::milli>;
@@ -59,7 +59,7 @@
         /*! @brief Draining servers; chosen only if no other server remains. */
         std::vector<DaemonId> draining;
         KindAverages averages;
-        ServerPaces paces;
+        ServerPerformance performance;
     };
 
     [[nodiscard]] static std::vector<DaemonId> untriedServers(const Service &service, const RouteRequest &request);
--- a/src/egretlatch/routing/fwd.hpp
+++ b/src/egretlatch/routing/fwd.hpp
@@ -13,7 +13,7 @@
 class AdaptiveRouter;
 class KindAverages;
 class LeastLoadedRouter;
-class ServerPaces;
+class ServerPerformance;
 class ServerRecord;
 
 } // namespace egretlatch::routing
--- a/src/egretlatch/routing/least_loaded_router.hpp
+++ b/src/egretlatch/routing/least_loaded_router.hpp
@@ -21,7 +21,7 @@
 
     void setMembers(const std::vector<membership::Member> &members, SteadyTime now) override;
     [[nodiscard]] std::optional<DaemonId> choose(const RouteRequest &request, SteadyTime now) override;
-    void notePaces(const DaemonId & /*daemon*/, const std::vector<admission::KindPace> & /*paces*/, SteadyTime /*now*/) override
+    void notePerformance(const DaemonId & /*daemon*/, const std::vector<admission::KindPerformance> & /*performance*/, SteadyTime /*now*/) override
     {
     }
     void noteResult(const DaemonId &daemon, const AttemptResult &result, SteadyTime now) override;
--- a/src/egretlatch/routing/router.hpp
+++ b/src/egretlatch/routing/router.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include <egretlatch/admission/kind_pace.hpp>
+#include <egretlatch/admission/kind_performance.hpp>
 #include <egretlatch/admission/load_report.hpp>
 #include <egretlatch/core/clock.hpp>
 #include <egretlatch/core/ids.hpp>
@@ -86,10 +86,10 @@
     /**
      * @brief Records the speed that a daemon reports for its server.
      * @param daemon The daemon.
-     * @param paces Run times and failure shares of its server, by kind of call.
+     * @param performance Run times and failure shares of its server, by kind of call.
      * @param now Current time.
      */
-    virtual void notePaces(const DaemonId &daemon, const std::vector<admission::KindPace> &paces, SteadyTime now) = 0;
+    virtual void notePerformance(const DaemonId &daemon, const std::vector<admission::KindPerformance> &performance, SteadyTime now) = 0;
 };
 
 } // namespace egretlatch::routing
--- a/src/egretlatch/routing/server_paces.cpp
+++ b/src/egretlatch/routing/server_performance.cpp
@@ -1,4 +1,4 @@
-#include <egretlatch/routing/server_paces.hpp>
+#include <egretlatch/routing/server_performance.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -10,30 +10,30 @@
 {
 
 // Decay time of a report. In fleets of up to twenty daemons each one receives a report from every other within this time.
-constexpr std::chrono::seconds paceDecayTime{10};
+constexpr std::chrono::seconds performanceDecayTime{10};
 constexpr std::size_t maxKinds = 64;
 
 } // namespace internal
 
-void ServerPaces::note(const DaemonId &server, const admission::KindPace &pace, const SteadyTime now)
+void ServerPerformance::note(const DaemonId &server, const admission::KindPerformance &performance, const SteadyTime now)
 {
-    if (m_kinds.size() >= internal::maxKinds && !m_kinds.contains(pace.kind)) {
+    if (m_kinds.size() >= internal::maxKinds && !m_kinds.contains(performance.kind)) {
         m_kinds.clear();
     }
-    Kind &kind = m_kinds[pace.kind];
+    Kind &kind = m_kinds[performance.kind];
     remove(kind, server);
-    kind.servers.emplace(server, Report{.ownTime = pace.own, .failureShare = pace.failing, .receivedAt = now});
-    kind.totalOwnTime += pace.own;
+    kind.servers.emplace(server, Report{.ownTime = performance.ownTime, .failureShare = performance.failureShare, .receivedAt = now});
+    kind.totalOwnTime += performance.ownTime;
 }
 
-void ServerPaces::forget(const DaemonId &server)
+void ServerPerformance::forget(const DaemonId &server)
 {
     for (auto &[name, kind] : m_kinds) {
         remove(kind, server);
     }
 }
 
-void ServerPaces::remove(Kind &kind, const DaemonId &server)
+void ServerPerformance::remove(Kind &kind, const DaemonId &server)
 {
     const auto found = kind.servers.find(server);
     if (found != kind.servers.end()) {
@@ -42,19 +42,19 @@
     }
 }
 
-Duration ServerPaces::excessTime(const DaemonId &server, const std::string &kind, const SteadyTime now) const
+Duration ServerPerformance::excessTime(const DaemonId &server, const std::string &kind, const SteadyTime now) const
 {
     const Report *const report = find(server, kind);
     return report == nullptr ? Duration{} : std::chrono::duration_cast<Duration>((report->ownTime - mean(kind)) * weight(*report, now));
 }
 
-double ServerPaces::failureShare(const DaemonId &server, const std::string &kind, const SteadyTime now) const
+double ServerPerformance::failureShare(const DaemonId &server, const std::string &kind, const SteadyTime now) const
 {
     const Report *const report = find(server, kind);
     return report == nullptr ? 0.0 : report->failureShare * weight(*report, now);
 }
 
-const ServerPaces::Report *ServerPaces::find(const DaemonId &server, const std::string &kind) const
+const ServerPerformance::Report *ServerPerformance::find(const DaemonId &server, const std::string &kind) const
 {
     const auto found = m_kinds.find(kind);
     if (found == m_kinds.end()) {
@@ -64,12 +64,12 @@
     return report == found->second.servers.end() ? nullptr : &report->second;
 }
 
-double ServerPaces::weight(const Report &report, const SteadyTime now)
+double ServerPerformance::weight(const Report &report, const SteadyTime now)
 {
-    return std::exp(-(std::chrono::duration<double>(now - report.receivedAt) / std::chrono::duration<double>(internal::paceDecayTime)));
+    return std::exp(-(std::chrono::duration<double>(now - report.receivedAt) / std::chrono::duration<double>(internal::performanceDecayTime)));
 }
 
-Duration ServerPaces::mean(const std::string &kind) const
+Duration ServerPerformance::mean(const std::string &kind) const
 {
     const auto found = m_kinds.find(kind);
     if (found == m_kinds.end() || found->second.servers.empty()) {
--- a/src/egretlatch/routing/server_paces.hpp
+++ b/src/egretlatch/routing/server_performance.hpp
@@ -1,11 +1,11 @@
-#ifndef EGRETLATCH_ROUTING_SERVER_PACES_HPP
-#define EGRETLATCH_ROUTING_SERVER_PACES_HPP
+#ifndef EGRETLATCH_ROUTING_SERVER_PERFORMANCE_HPP
+#define EGRETLATCH_ROUTING_SERVER_PERFORMANCE_HPP
 
 #include <map>
 #include <string>
 #include <vector>
 
-#include <egretlatch/admission/kind_pace.hpp>
+#include <egretlatch/admission/kind_performance.hpp>
 #include <egretlatch/core/ids.hpp>
 
 namespace egretlatch::routing
@@ -17,16 +17,16 @@
  * At a few calls a second, a daemon would need minutes to find slow servers by itself, and would have to send calls to them.
  * A server's own daemon sees all of its runs.
  */
-class ServerPaces
+class ServerPerformance
 {
 public:
     /**
      * @brief Records a daemon's report on its server.
      * @param server The daemon.
-     * @param pace Run time and failure share for one kind of call.
+     * @param performance Run time and failure share for one kind of call.
      * @param now Current time.
      */
-    void note(const DaemonId &server, const admission::KindPace &pace, SteadyTime now);
+    void note(const DaemonId &server, const admission::KindPerformance &performance, SteadyTime now);
 
     /**
      * @brief Removes all reports on a server, for example after it was replaced by another one.
--- a/src/egretlatch/settings/sidecar_settings.cpp
+++ b/src/egretlatch/settings/sidecar_settings.cpp
@@ -56,20 +56,20 @@
     return disabledMechanisms;
 }
 
-// Reads the bounds as texts of the form `name=value`, whatever the type of the value.
-[[nodiscard]] static std::vector<std::string> readBoundTexts(JsonObjectReader &reader, Problems &problems)
+// Reads the bounds as entries of the form `name=value`, whatever the type of the value.
+[[nodiscard]] static std::vector<std::string> readBoundEntries(JsonObjectReader &reader, Problems &problems)
 {
-    std::vector<std::string> texts;
+    std::vector<std::string> entries;
     const std::optional<QJsonValue> member = reader.member("bounds");
     if (member.has_value() && !member->isObject()) {
         problems.push_back({.pointer = reader.pointerTo("bounds"), .found = describe(*member), .allowed = "an object of bounds by name"});
-        return texts;
+        return entries;
     }
     const QJsonObject bounds = member.value_or(QJsonValue{}).toObject();
     for (auto bound = bounds.begin(); bound != bounds.end(); ++bound) {
-        texts.push_back(bound.key().toStdString() + '=' + bound.value().toVariant().toString().toStdString());
+        entries.push_back(bound.key().toStdString() + '=' + bound.value().toVariant().toString().toStdString());
     }
-    return texts;
+    return entries;
 }
 
 } // namespace internal
@@ -100,7 +100,7 @@
     if (reader.member("announcedPeer").has_value()) {
         settings.announcedPeer = internal::readEndpoint(reader, "announcedPeer");
     }
-    settings.boundTexts = internal::readBoundTexts(reader, problems);
+    settings.boundEntries = internal::readBoundEntries(reader, problems);
     settings.policy = readPolicy(reader);
     settings.disabledMechanisms = internal::readDisabledMechanisms(reader);
     settings.logLevel = readLogLevel(reader);
--- a/src/egretlatch/settings/sidecar_settings.hpp
+++ b/src/egretlatch/settings/sidecar_settings.hpp
@@ -46,8 +46,8 @@
     std::uint16_t peerPort{};
     /*! @brief Endpoint on which other daemons reach this one, if its address is translated or relayed. */
     std::optional<net::Endpoint> announcedPeer;
-    /*! @brief Bounds that the platform sets for the fleet, as `name=value` texts in the platform's notation. */
-    std::vector<std::string> boundTexts;
+    /*! @brief Bounds that the platform sets for the fleet, as `name=value` entries in the platform's notation. */
+    std::vector<std::string> boundEntries;
     Policy policy{Policy::adaptive};
     /*! @brief Mechanisms to disable; for experiments only, operators leave it out. */
     DisabledMechanisms disabledMechanisms;
--- a/src/egretlatch/sidecar/backend_runner.cpp
+++ b/src/egretlatch/sidecar/backend_runner.cpp
@@ -17,8 +17,8 @@
     if (const auto *const answer = std::get_if<http::Response>(&result)) {
         return platform::readRun(*answer);
     }
-    const bool isNeverConnected = std::get<http::Failure>(result) == http::Failure::neverConnected;
-    return isNeverConnected ? decision::RunFailure::neverConnected : decision::RunFailure::lost;
+    const bool isNotConnected = std::get<http::Failure>(result) == http::Failure::notConnected;
+    return isNotConnected ? decision::RunFailure::notConnected : decision::RunFailure::lost;
 }
 
 } // namespace internal
@@ -40,20 +40,20 @@
     outgoing.deadline = m_clock.steadyNow() + start.request.remaining + internal::deadlineMargin;
     const ExecutionId execution = start.execution;
     outgoing.onResult = [this, execution](const http::Outcome &result) {
-        m_tickets.erase(execution.value);
+        m_requestIds.erase(execution.value);
         m_onEnded({.execution = execution, .result = internal::runResultOf(result)});
     };
-    const http::TicketId ticket = m_pool.send(std::move(outgoing));
-    m_tickets.emplace(execution.value, ticket);
+    const http::ClientRequestId id = m_pool.send(std::move(outgoing));
+    m_requestIds.emplace(execution.value, id);
 }
 
 void BackendRunner::abort(const ExecutionId execution)
 {
-    const auto found = m_tickets.find(execution.value);
-    if (found != m_tickets.end()) {
-        const http::TicketId ticket = found->second;
-        m_tickets.erase(found);
-        m_pool.cancel(ticket);
+    const auto found = m_requestIds.find(execution.value);
+    if (found != m_requestIds.end()) {
+        const http::ClientRequestId id = found->second;
+        m_requestIds.erase(found);
+        m_pool.cancel(id);
     }
 }
 
--- a/src/egretlatch/sidecar/backend_runner.hpp
+++ b/src/egretlatch/sidecar/backend_runner.hpp
@@ -43,7 +43,7 @@
     /*! @brief Closes connections without a request in flight, as they lead to an ended incarnation of the server. */
     void closeIdleConnections()
     {
-        m_pool.closeFree();
+        m_pool.closeIdle();
     }
 
     void tick()
@@ -55,7 +55,7 @@
     const Clock &m_clock;
     EndedHandler m_onEnded;
     http::ClientPool m_pool;
-    std::unordered_map<std::uint64_t, http::TicketId> m_tickets;
+    std::unordered_map<std::uint64_t, http::ClientRequestId> m_requestIds;
 };
 
 } // namespace egretlatch::sidecar
--- a/src/egretlatch/sidecar/gauges.cpp
+++ b/src/egretlatch/sidecar/gauges.cpp
@@ -56,7 +56,7 @@
         metrics.set(fmt::format("retries_left{{service=\"{}\"}}", service), retries);
     }
     internal::setMembers(core.roster(), metrics);
-    metrics.set("log_lines_left_out", static_cast<double>(sources.logLinesLeftOut));
+    metrics.set("log_lines_left_out", static_cast<double>(sources.logLinesOmitted));
     if (const std::optional<double> bytes = internal::residentBytes()) {
         metrics.set("resident_memory_bytes", *bytes);
     }
--- a/src/egretlatch/sidecar/gauges.hpp
+++ b/src/egretlatch/sidecar/gauges.hpp
@@ -14,7 +14,7 @@
     int slots{};
     /*! @brief Time at which the current configuration came into force; empty without one. */
     std::optional<SteadyTime> inForceSince;
-    std::uint64_t logLinesLeftOut{};
+    std::uint64_t logLinesOmitted{};
 };
 
 /**
--- a/src/egretlatch/sidecar/sidecar.cpp
+++ b/src/egretlatch/sidecar/sidecar.cpp
@@ -40,7 +40,7 @@
 
 Sidecar::Sidecar(settings::SidecarSettings settings, std::function<void()> onEnded)
     : m_settings{std::move(settings)}
-    , m_bounds{platform::readBounds(m_settings.boundTexts)}
+    , m_bounds{platform::readBounds(m_settings.boundEntries)}
     , m_onEnded{std::move(onEnded)}
     , m_logSink{STDOUT_FILENO, m_clock}
     , m_logger{m_settings.logLevel, m_settings.id.value, m_logSink}
@@ -198,8 +198,8 @@
 
 void Sidecar::reload(const settings::SidecarSettings &settings)
 {
-    m_settings.boundTexts = settings.boundTexts;
-    m_bounds = platform::readBounds(m_settings.boundTexts);
+    m_settings.boundEntries = settings.boundEntries;
+    m_bounds = platform::readBounds(m_settings.boundEntries);
     m_logger.info("settings reloaded");
 }
 
@@ -236,8 +236,8 @@
         m_backend.start(*start, m_reportHandler.server().instance());
     } else if (const auto *const abort = std::get_if<decision::AbortRun>(&action)) {
         m_backend.abort(abort->execution);
-    } else if (const auto *const ask = std::get_if<decision::AskPlatform>(&action)) {
-        m_store.execute(ask->request, [this, id = ask->id](store::Outcome outcome) {
+    } else if (const auto *const toPlatform = std::get_if<decision::SendToPlatform>(&action)) {
+        m_store.execute(toPlatform->request, [this, id = toPlatform->id](store::Outcome outcome) {
             post(decision::PlatformAnswered{.id = id, .outcome = std::move(outcome)});
         });
     } else if (const auto *const refusal = std::get_if<decision::RecordRefusal>(&action)) {
@@ -357,7 +357,7 @@
 http::Response Sidecar::metricsPage()
 {
     const SteadyTime now = m_clock.steadyNow();
-    setGauges(*m_core, {.slots = m_reportHandler.server().slots(), .inForceSince = m_inForceSince, .logLinesLeftOut = m_logSink.omitted()}, now, m_metrics);
+    setGauges(*m_core, {.slots = m_reportHandler.server().slots(), .inForceSince = m_inForceSince, .logLinesOmitted = m_logSink.omitted()}, now, m_metrics);
     http::Response response = http::bareResponse(internal::ok);
     response.headers.push_back({.name = "Content-Type", .value = "text/plain; version=0.0.4"});
     response.body = QByteArray::fromStdString(m_metrics.toPrometheus());
--- a/src/egretlatch/sidecar/store_client.cpp
+++ b/src/egretlatch/sidecar/store_client.cpp
@@ -23,7 +23,7 @@
         return answer->status < firstServerError && answer->status != tooManyRequests ? "answered" : "refused";
     }
     switch (std::get<http::Failure>(result)) {
-    case http::Failure::neverConnected:
+    case http::Failure::notConnected:
         return "not-connected";
     case http::Failure::lost:
         return "lost";
@@ -38,7 +38,7 @@
     if (const auto *const answer = std::get_if<http::Response>(&result)) {
         return platform::readStoreAnswer(request, *answer);
     }
-    if (std::get<http::Failure>(result) == http::Failure::neverConnected) {
+    if (std::get<http::Failure>(result) == http::Failure::notConnected) {
         return tl::unexpected{Error{ErrorCode::unavailable, "the store cannot be reached"}};
     }
     return tl::unexpected{Error{ErrorCode::timedOut, "the store did not answer"}};
--- a/src/egretlatch/store/identified_write.cpp
+++ b/src/egretlatch/store/identified_write.cpp
@@ -18,7 +18,7 @@
     return m_write;
 }
 
-WriteStep IdentifiedWrite::take(const Outcome &outcome)
+WriteStep IdentifiedWrite::handleOutcome(const Outcome &outcome)
 {
     return m_isReading ? handleReadOutcome(outcome) : handleWriteOutcome(outcome);
 }
@@ -34,24 +34,24 @@
         // The conflict may have been caused by an earlier attempt of this same write whose answer was lost.
         m_hasConflicted = true;
         m_isReading = true;
-        return WriteStep::ask;
+        return WriteStep::send;
     case ErrorCode::timedOut:
         m_isOutcomeUnknown = true;
         m_isReading = true;
-        return WriteStep::askLater;
+        return WriteStep::sendLater;
     default:
-        return WriteStep::askLater;
+        return WriteStep::sendLater;
     }
 }
 
 WriteStep IdentifiedWrite::handleReadOutcome(const Outcome &outcome)
 {
     if (!outcome.has_value()) {
-        return WriteStep::askLater;
+        return WriteStep::sendLater;
     }
     const auto *const reply = std::get_if<RowsReply>(&*outcome);
     if (reply == nullptr) {
-        return WriteStep::askLater;
+        return WriteStep::sendLater;
     }
     m_row = reply->rows.empty() ? std::nullopt : std::optional{reply->rows.front()};
     if (m_row.has_value() && m_isOwnValue(m_row->value)) {
@@ -65,7 +65,7 @@
     // The write is not visible yet: the lost attempt may still be in transit. Sending the same write again is safe, since its
     // conditions let at most one attempt succeed.
     m_isReading = false;
-    return WriteStep::ask;
+    return WriteStep::send;
 }
 
 } // namespace egretlatch::store
--- a/src/egretlatch/store/identified_write.hpp
+++ b/src/egretlatch/store/identified_write.hpp
@@ -13,9 +13,9 @@
 /*! @brief Next step of a write after an outcome. */
 enum class WriteStep {
     /*! @brief Send request() immediately. */
-    ask,
+    send,
     /*! @brief Send request() after a backoff. */
-    askLater,
+    sendLater,
     /*! @brief The write took effect, in this attempt or an earlier one. */
     applied,
     /*! @brief The write has not taken effect and never will; marker() returns the row of the competing writer. */
@@ -55,7 +55,7 @@
      * @param outcome The outcome.
      * @return The next step.
      */
-    [[nodiscard]] WriteStep take(const Outcome &outcome);
+    [[nodiscard]] WriteStep handleOutcome(const Outcome &outcome);
 
     /**
      * @brief Returns the marker row as last read.
--- a/standin/load/load_worker.cpp
+++ b/standin/load/load_worker.cpp
@@ -27,7 +27,7 @@
     , m_schedule{std::move(schedule)}
     , m_workerIndex{workerIndex}
     , m_random{seed}
-    , m_mint{m_random}
+    , m_uuidGenerator{m_random}
     , m_context{1}
     , m_timer{m_context}
 {
@@ -79,7 +79,7 @@
     request->isCancelledByCaller = planned.isCancelledByCaller;
     request->name = fmt::format("{}-{}", m_workerIndex, ++m_lastRequestNumber);
     if (!kind.idempotent && m_plan.callers.keys == KeySource::caller) {
-        request->key = m_mint.mint(std::chrono::system_clock::now()).toString();
+        request->key = m_uuidGenerator.generate(std::chrono::system_clock::now()).toString();
     }
     request->body = makeBody(planned, request->name);
     request->intended = m_plan.start + planned.at;
--- a/standin/load/load_worker.hpp
+++ b/standin/load/load_worker.hpp
@@ -99,7 +99,7 @@
     std::uint64_t m_lastRequestNumber{};
     int m_openRequests{};
     egretlatch::SeededRandom m_random;
-    egretlatch::UuidMint m_mint;
+    egretlatch::UuidGenerator m_uuidGenerator;
     boost::asio::io_context m_context;
     boost::asio::steady_timer m_timer;
     std::vector<std::unique_ptr<ConnectionPool>> m_pools;
--- a/standin/platform_server.cpp
+++ b/standin/platform_server.cpp
@@ -29,7 +29,7 @@
 constexpr settings::Range<double> shareRange{.min = 0.0, .max = 1.0};
 constexpr settings::Range<double> rateRange{.min = 0.0, .max = 1e6};
 
-[[nodiscard]] static store::RateLimiter makeCap(const double rate)
+[[nodiscard]] static store::RateLimiter makeRateLimiter(const double rate)
 {
     return {rate, rate * burstSeconds};
 }
@@ -50,8 +50,8 @@
 PlatformServer::PlatformServer(Secret token, const std::uint64_t seed)
     : m_token{std::move(token)}
     , m_random{seed}
-    , m_readCap{internal::makeCap(m_behaviour.readsPerSecond)}
-    , m_writeCap{internal::makeCap(m_behaviour.writesPerSecond)}
+    , m_readLimiter{internal::makeRateLimiter(m_behaviour.readsPerSecond)}
+    , m_writeLimiter{internal::makeRateLimiter(m_behaviour.writesPerSecond)}
 {
 }
 
@@ -91,8 +91,8 @@
         return;
     }
     m_behaviour = behaviour;
-    m_readCap = internal::makeCap(behaviour.readsPerSecond);
-    m_writeCap = internal::makeCap(behaviour.writesPerSecond);
+    m_readLimiter = internal::makeRateLimiter(behaviour.readsPerSecond);
+    m_writeLimiter = internal::makeRateLimiter(behaviour.writesPerSecond);
     makeResponder(request, socket).write(internal::StatusCode::NoContent);
 }
 
@@ -142,7 +142,7 @@
     if (m_behaviour.isDown) {
         return tl::unexpected{Error{ErrorCode::unavailable, "the simulated platform is down"}};
     }
-    if (!(isWrite ? m_writeCap : m_readCap).tryTake(std::chrono::steady_clock::now())) {
+    if (!(isWrite ? m_writeLimiter : m_readLimiter).tryTake(std::chrono::steady_clock::now())) {
         ++m_rateLimited;
         return tl::unexpected{Error{ErrorCode::rateLimited, "too many requests"}};
     }
--- a/standin/platform_server.hpp
+++ b/standin/platform_server.hpp
@@ -68,8 +68,8 @@
     PlatformStore m_store;
     PlatformBehaviour m_behaviour;
     egretlatch::SeededRandom m_random;
-    egretlatch::store::RateLimiter m_readCap;
-    egretlatch::store::RateLimiter m_writeCap;
+    egretlatch::store::RateLimiter m_readLimiter;
+    egretlatch::store::RateLimiter m_writeLimiter;
     std::uint64_t m_reads{};
     std::uint64_t m_writes{};
     std::uint64_t m_rateLimited{};
--- a/test/egretlatch/account/refusal_ledger.cpp
+++ b/test/egretlatch/account/refusal_ledger.cpp
@@ -19,7 +19,7 @@
     {
         RefusalRecord record;
         record.time = clock.wallNow();
-        record.refusal.id = mint.mint(record.time);
+        record.refusal.id = uuidGenerator.generate(record.time);
         record.refusal.reason = RefusalReason::overloadAtServer;
         record.refusal.rule = "level (daemon launch-log-0)";
         record.refusal.figures = {{.name = "level", .value = 5.25}};
@@ -34,7 +34,7 @@
 
     fakes::ManualClock clock;
     SeededRandom random{1};
-    UuidMint mint{random};
+    UuidGenerator uuidGenerator{random};
 };
 
 } // namespace
--- a/test/egretlatch/cli/sessions.cpp
+++ b/test/egretlatch/cli/sessions.cpp
@@ -30,15 +30,15 @@
         configuration::SubmissionRequest request;
         request.base = base;
         request.manifest = QByteArray::fromStdString(manifest);
-        request.id = mint.mint(clock.wallNow()).toString();
+        request.id = uuidGenerator.generate(clock.wallNow()).toString();
         request.submitter = submitter;
         request.submitted = clock.wallNow();
         return request;
     }
 
-    void submit(const configuration::SubmissionRequest &request, std::deque<fakes::ScriptedOutcome> fates = {})
+    void submit(const configuration::SubmissionRequest &request, std::deque<fakes::ScriptedOutcome> outcomes = {})
     {
-        fakes::FakePlatformPort port{store, std::move(fates)};
+        fakes::FakePlatformPort port{store, std::move(outcomes)};
         const std::string command = "submit --manifest m.json --base " + std::to_string(request.base) + " --submitter " + request.submitter;
         print(command, cli::submit(request, port, random, std::chrono::seconds{60}));
         clock.advance(std::chrono::minutes{1});
@@ -46,20 +46,20 @@
 
     fakes::ManualClock clock;
     SeededRandom random{20261202};
-    UuidMint mint{random};
+    UuidGenerator uuidGenerator{random};
     standin::PlatformStore store;
     std::string text;
 };
 
 [[nodiscard]] cli::DaemonAnswer
-makeAnswer(const std::string &id, const std::uint64_t version, const std::uint64_t newest, std::vector<configuration::ReportedVersion> heard)
+makeAnswer(const std::string &id, const std::uint64_t version, const std::uint64_t newest, std::vector<configuration::ReportedVersion> reported)
 {
     configuration::Report report;
     report.daemon = {id};
     report.version = version;
     report.hash = contentHash(QByteArray::number(static_cast<qulonglong>(version)));
     report.newestKnown = newest;
-    report.heard = std::move(heard);
+    report.reported = std::move(reported);
     membership::Member self;
     self.id = {id};
     // Goes through the status document that the daemon serves.
@@ -71,14 +71,14 @@
 {
     account::RefusalRecord record;
     record.time = session.clock.wallNow();
-    record.refusal.id = session.mint.mint(record.time);
+    record.refusal.id = session.uuidGenerator.generate(record.time);
     record.refusal.reason = reason;
     record.refusal.rule = "admission level of launch-log (daemon launch-log-0)";
     record.refusal.figures = {{.name = "level", .value = 5.25}, {.name = "queueDelayMs", .value = 84.5}};
     record.refusal.retryAfter = std::chrono::milliseconds{1500};
     record.refusal.configurationVersion = 2;
     record.verdict = Verdict::notRun;
-    record.root = session.mint.mint(record.time);
+    record.root = session.uuidGenerator.generate(record.time);
     record.keyFingerprint = 0xabcdef;
     record.service = "launch-log";
     record.kind = kind;
@@ -102,10 +102,10 @@
     session.submit(anna);
     session.submit(session.request(9, "{\"c\":1}", "carl"));
     session.submit(session.request(3, "{\"c\":1}", "carl"), std::deque<ScriptedOutcome>(200, ScriptedOutcome::down));
-    std::deque<ScriptedOutcome> fates{ScriptedOutcome::answered, ScriptedOutcome::answered, ScriptedOutcome::answerLost};
-    fates.insert(fates.end(), 200, ScriptedOutcome::down);
+    std::deque<ScriptedOutcome> outcomes{ScriptedOutcome::answered, ScriptedOutcome::answered, ScriptedOutcome::answerLost};
+    outcomes.insert(outcomes.end(), 200, ScriptedOutcome::down);
     const configuration::SubmissionRequest carl = session.request(3, "{\"c\":2}", "carl");
-    session.submit(carl, fates);
+    session.submit(carl, outcomes);
     session.submit(carl);
     fakes::checkGolden("submit-and-race.txt", session.text);
 }
@@ -113,11 +113,11 @@
 TEST_CASE("operators read the configuration in force")
 {
     Session session;
-    const std::vector<configuration::ReportedVersion> heard{{.daemon = {"roster-0"}, .version = 4, .age = std::chrono::milliseconds{700}},
-                                                            {.daemon = {"roster-1"}, .version = 3, .age = std::chrono::milliseconds{12'340}}};
-    session.print("status --daemon http://launch-log-0", cli::describeFleet({makeAnswer("launch-log-0", 4, 4, {heard.front()})}));
+    const std::vector<configuration::ReportedVersion> reported{{.daemon = {"roster-0"}, .version = 4, .age = std::chrono::milliseconds{700}},
+                                                               {.daemon = {"roster-1"}, .version = 3, .age = std::chrono::milliseconds{12'340}}};
+    session.print("status --daemon http://launch-log-0", cli::describeFleet({makeAnswer("launch-log-0", 4, 4, {reported.front()})}));
     session.print("status --daemon http://launch-log-0 --daemon http://launch-log-1 --daemon http://gone",
-                  cli::describeFleet({makeAnswer("launch-log-0", 4, 4, heard), makeAnswer("launch-log-1", 3, 4, {}), {.url = "http://gone", .report = {}}}));
+                  cli::describeFleet({makeAnswer("launch-log-0", 4, 4, reported), makeAnswer("launch-log-1", 3, 4, {}), {.url = "http://gone", .report = {}}}));
     fakes::checkGolden("status.txt", session.text);
 }
 
@@ -141,7 +141,7 @@
     const std::string id = refusal.refusal.id.toString();
     session.print("explain " + id, cli::explainRefusal(refusal.refusal.id, port, session.random, false));
     session.print("explain --json " + id, cli::explainRefusal(refusal.refusal.id, port, session.random, true));
-    const Uuid missing = session.mint.mint(session.clock.wallNow());
+    const Uuid missing = session.uuidGenerator.generate(session.clock.wallNow());
     session.print("explain " + missing.toString(), cli::explainRefusal(missing, port, session.random, false));
     const cli::RefusalQuery query{.since = start, .until = session.clock.wallNow() + std::chrono::minutes{1}, .kind = {}};
     session.print("explain --since 2026-09-21T14:13:20Z", cli::summarizeRefusals(query, port, session.random));
--- a/test/egretlatch/configuration/follower.cpp
+++ b/test/egretlatch/configuration/follower.cpp
@@ -22,12 +22,12 @@
 }
 
 /*! @brief Records the requests, messages and configurations of a follower. */
-class RecordingOutlet final : public Outlet
+class RecordingDelegate final : public FollowerDelegate
 {
 public:
-    store::RequestId ask(store::Request request) override
+    store::RequestId sendToPlatform(store::Request request) override
     {
-        asked.emplace_back(store::RequestId{++m_lastRequest}, std::move(request));
+        requests.emplace_back(store::RequestId{++m_lastRequest}, std::move(request));
         return {m_lastRequest};
     }
 
@@ -52,7 +52,7 @@
         counted.emplace_back(what);
     }
 
-    std::deque<std::pair<store::RequestId, store::Request>> asked;
+    std::deque<std::pair<store::RequestId, store::Request>> requests;
     std::deque<std::pair<Peer, PeerPayload>> sent;
     std::vector<Peer> known;
     std::vector<std::uint64_t> inForce;
@@ -70,7 +70,7 @@
 {
     explicit Fixture(const std::uint64_t seed = 1)
         : random{seed}
-        , follower{outlet, random, FollowerOptions{.hasPlatform = true, .endpoint = "tcp://self"}}
+        , follower{delegate, random, FollowerOptions{.hasPlatform = true, .endpoint = "tcp://self"}}
     {
     }
 
@@ -87,9 +87,9 @@
 
     void answerAll(standin::PlatformStore *const store)
     {
-        while (!outlet.asked.empty()) {
-            const auto [id, request] = outlet.asked.front();
-            outlet.asked.pop_front();
+        while (!delegate.requests.empty()) {
+            const auto [id, request] = delegate.requests.front();
+            delegate.requests.pop_front();
             CHECK(follower.handleOutcome(id, store == nullptr ? down : store->apply(request), clock.steadyNow()));
         }
     }
@@ -101,14 +101,14 @@
 
     [[nodiscard]] std::size_t bodyRequests() const
     {
-        return static_cast<std::size_t>(std::count_if(outlet.sent.begin(), outlet.sent.end(), [](const auto &message) {
+        return static_cast<std::size_t>(std::count_if(delegate.sent.begin(), delegate.sent.end(), [](const auto &message) {
             return std::holds_alternative<BodyRequest>(message.second);
         }));
     }
 
     fakes::ManualClock clock;
     SeededRandom random;
-    RecordingOutlet outlet;
+    RecordingDelegate delegate;
     Follower follower;
 };
 
@@ -119,7 +119,7 @@
     request.manifest = manifest;
     request.id = "submission-" + std::to_string(base);
     Submission submission{request};
-    while (submission.take(store.apply(submission.request())) != SubmissionStep::finished) { }
+    while (submission.handleOutcome(store.apply(submission.request())) != SubmissionStep::finished) { }
     REQUIRE(submission.result().end == SubmissionEnd::accepted);
 }
 
@@ -131,8 +131,8 @@
     Fixture daemon;
     accept(store, 0, makeManifest(3));
     daemon.run(std::chrono::seconds{4}, &store);
-    CHECK(daemon.outlet.inForce == std::vector<std::uint64_t>{1});
-    CHECK(daemon.outlet.slots == 3);
+    CHECK(daemon.delegate.inForce == std::vector<std::uint64_t>{1});
+    CHECK(daemon.delegate.slots == 3);
 }
 
 TEST_CASE("a daemon that starts while the platform is down gets the configuration from a peer")
@@ -140,14 +140,14 @@
     // If VMs that are started after a rack failure while the store is down could not get the configuration from their
     // peers, they would refuse every call.
     Fixture daemon;
-    daemon.outlet.known = {{.id = {"peer"}, .endpoint = "tcp://peer"}};
+    daemon.delegate.known = {{.id = {"peer"}, .endpoint = "tcp://peer"}};
     daemon.run(std::chrono::seconds{2}, nullptr);
-    REQUIRE(!daemon.outlet.sent.empty());
-    CHECK(std::get<Advert>(daemon.outlet.sent.front().second).version == 0);
+    REQUIRE(!daemon.delegate.sent.empty());
+    CHECK(std::get<Advert>(daemon.delegate.sent.front().second).version == 0);
     daemon.receiveAdvert(7, makeManifest(5));
     CHECK(daemon.bodyRequests() == 1);
     daemon.follower.handleBodyReply({"peer"}, {.hash = contentHash(makeManifest(5)), .manifest = makeManifest(5)}, daemon.clock.steadyNow());
-    CHECK(daemon.outlet.inForce == std::vector<std::uint64_t>{7});
+    CHECK(daemon.delegate.inForce == std::vector<std::uint64_t>{7});
 }
 
 TEST_CASE("a lagging peer receives an advert at once, and the manifest on request")
@@ -156,13 +156,13 @@
     accept(store, 0, makeManifest(3));
     Fixture daemon;
     daemon.run(std::chrono::seconds{4}, &store);
-    daemon.outlet.sent.clear();
+    daemon.delegate.sent.clear();
     daemon.follower.handleAdvert({"new"}, {.version = 0, .hash = {}, .endpoint = "tcp://new"}, daemon.clock.steadyNow());
-    REQUIRE(daemon.outlet.sent.size() == 1);
-    CHECK(daemon.outlet.sent.front().first.endpoint == "tcp://new");
-    CHECK(std::get<Advert>(daemon.outlet.sent.front().second).version == 1);
+    REQUIRE(daemon.delegate.sent.size() == 1);
+    CHECK(daemon.delegate.sent.front().first.endpoint == "tcp://new");
+    CHECK(std::get<Advert>(daemon.delegate.sent.front().second).version == 1);
     daemon.follower.handleBodyRequest({"new"}, {.hash = contentHash(makeManifest(3)), .endpoint = "tcp://new"});
-    CHECK(std::get<BodyReply>(daemon.outlet.sent.back().second).manifest == makeManifest(3));
+    CHECK(std::get<BodyReply>(daemon.delegate.sent.back().second).manifest == makeManifest(3));
 }
 
 TEST_CASE("a manifest with a different hash is rejected")
@@ -174,11 +174,11 @@
     Fixture daemon;
     daemon.receiveAdvert(1, makeManifest(3));
     daemon.follower.handleBodyReply({"peer"}, {.hash = contentHash(makeManifest(3)), .manifest = makeManifest(9)}, daemon.clock.steadyNow());
-    CHECK(daemon.outlet.inForce.empty());
-    CHECK(daemon.outlet.counted == std::vector<std::string>{"hash-mismatch"});
+    CHECK(daemon.delegate.inForce.empty());
+    CHECK(daemon.delegate.counted == std::vector<std::string>{"hash-mismatch"});
     daemon.run(std::chrono::seconds{2}, &store);
-    CHECK(daemon.outlet.inForce == std::vector<std::uint64_t>{1});
-    CHECK(daemon.outlet.slots == 3);
+    CHECK(daemon.delegate.inForce == std::vector<std::uint64_t>{1});
+    CHECK(daemon.delegate.slots == 3);
 }
 
 TEST_CASE("the follower turns to the store when a peer does not send the manifest, and to a peer when the store is down")
@@ -188,7 +188,7 @@
     Fixture silentPeer;
     silentPeer.receiveAdvert(1, makeManifest(3));
     silentPeer.run(std::chrono::seconds{1}, &store);
-    CHECK(silentPeer.outlet.inForce == std::vector<std::uint64_t>{1});
+    CHECK(silentPeer.delegate.inForce == std::vector<std::uint64_t>{1});
 
     Fixture storeDown;
     storeDown.receiveAdvert(1, makeManifest(3));
@@ -205,12 +205,12 @@
     accept(store, 1, makeManifest(4));
     Fixture daemon;
     daemon.run(std::chrono::seconds{4}, &store);
-    REQUIRE(daemon.outlet.inForce == std::vector<std::uint64_t>{2});
+    REQUIRE(daemon.delegate.inForce == std::vector<std::uint64_t>{2});
     daemon.receiveAdvert(1, makeManifest(3));
     daemon.follower.handleBodyReply({"peer"}, {.hash = contentHash(makeManifest(3)), .manifest = makeManifest(3)}, daemon.clock.steadyNow());
     daemon.run(std::chrono::seconds{10}, &store);
-    CHECK(daemon.outlet.inForce == std::vector<std::uint64_t>{2});
-    CHECK(daemon.outlet.slots == 4);
+    CHECK(daemon.delegate.inForce == std::vector<std::uint64_t>{2});
+    CHECK(daemon.delegate.slots == 4);
 }
 
 TEST_CASE("a manifest that cannot be parsed is not applied, and fetched only once")
@@ -219,8 +219,8 @@
     accept(store, 0, "{\"of\":\"a newer program\"}");
     Fixture daemon;
     daemon.run(std::chrono::seconds{20}, &store);
-    CHECK(daemon.outlet.inForce.empty());
-    CHECK(daemon.outlet.counted == std::vector<std::string>{"manifest-not-understood"});
+    CHECK(daemon.delegate.inForce.empty());
+    CHECK(daemon.delegate.counted == std::vector<std::string>{"manifest-not-understood"});
     CHECK(daemon.follower.newestKnown() == 1);
 }
 
@@ -229,13 +229,13 @@
     constexpr std::size_t daemons = 300;
     constexpr std::chrono::seconds span{60};
     Fixture daemon;
-    daemon.outlet.known.resize(daemons - 1);
+    daemon.delegate.known.resize(daemons - 1);
     standin::PlatformStore store;
     std::size_t reads = 0;
     for (Duration passed{}; passed < span; passed += std::chrono::milliseconds{50}) {
         daemon.clock.advance(std::chrono::milliseconds{50});
         daemon.follower.tick(daemon.clock.steadyNow());
-        reads += daemon.outlet.asked.size();
+        reads += daemon.delegate.requests.size();
         daemon.answerAll(&store);
     }
     CHECK(reads * daemons / span.count() <= 20);
@@ -248,7 +248,7 @@
     for (int step = 0; step < 20 * 300; ++step) {
         daemon.clock.advance(std::chrono::milliseconds{50});
         daemon.follower.tick(daemon.clock.steadyNow());
-        reads += daemon.outlet.asked.size();
+        reads += daemon.delegate.requests.size();
         daemon.answerAll(nullptr);
     }
     CHECK(reads >= 10);
--- a/test/egretlatch/configuration/submission.cpp
+++ b/test/egretlatch/configuration/submission.cpp
@@ -26,10 +26,10 @@
     return request;
 }
 
-[[nodiscard]] cli::CommandResult run(standin::PlatformStore &store, const SubmissionRequest &request, std::deque<fakes::ScriptedOutcome> fates = {})
+[[nodiscard]] cli::CommandResult run(standin::PlatformStore &store, const SubmissionRequest &request, std::deque<fakes::ScriptedOutcome> outcomes = {})
 {
     SeededRandom random{1};
-    fakes::FakePlatformPort port{store, std::move(fates)};
+    fakes::FakePlatformPort port{store, std::move(outcomes)};
     return cli::submit(request, port, random, std::chrono::seconds{30});
 }
 
@@ -38,7 +38,7 @@
     return *decodeHead(std::get<store::RowsReply>(*store.apply(store::TableRead{.key = headKey})).rows.front().value);
 }
 
-constexpr std::deque<fakes::ScriptedOutcome>::size_type requestsOfASubmission = 3;
+constexpr std::deque<fakes::ScriptedOutcome>::size_type requestsPerSubmission = 3;
 
 } // namespace
 
@@ -58,12 +58,12 @@
 {
     // After a lost response, a deployment pipeline could report a failure for a change that is in force, or submit it twice
     // as two versions. Here each request of a submission is lost in turn, or its response, or the platform is down.
-    for (const fakes::ScriptedOutcome fate : {fakes::ScriptedOutcome::answerLost, fakes::ScriptedOutcome::requestLost, fakes::ScriptedOutcome::down}) {
-        for (std::size_t position = 0; position < requestsOfASubmission; ++position) {
+    for (const fakes::ScriptedOutcome outcome : {fakes::ScriptedOutcome::answerLost, fakes::ScriptedOutcome::requestLost, fakes::ScriptedOutcome::down}) {
+        for (std::size_t position = 0; position < requestsPerSubmission; ++position) {
             standin::PlatformStore store;
-            std::deque<fakes::ScriptedOutcome> fates(position, fakes::ScriptedOutcome::answered);
-            fates.push_back(fate);
-            CHECK(run(store, makeRequest(0, "first"), fates).code == cli::ExitCode::success);
+            std::deque<fakes::ScriptedOutcome> outcomes(position, fakes::ScriptedOutcome::answered);
+            outcomes.push_back(outcome);
+            CHECK(run(store, makeRequest(0, "first"), outcomes).code == cli::ExitCode::success);
             CHECK(readHead(store).version == 1);
         }
     }
@@ -91,9 +91,9 @@
 TEST_CASE("a submission abandoned while its result is unknown reports this and can be resumed")
 {
     standin::PlatformStore store;
-    std::deque<fakes::ScriptedOutcome> fates{fakes::ScriptedOutcome::answered, fakes::ScriptedOutcome::answered, fakes::ScriptedOutcome::answerLost};
-    fates.insert(fates.end(), 100, fakes::ScriptedOutcome::down);
-    CHECK(run(store, makeRequest(0, "first"), fates).code == cli::ExitCode::unsure);
+    std::deque<fakes::ScriptedOutcome> outcomes{fakes::ScriptedOutcome::answered, fakes::ScriptedOutcome::answered, fakes::ScriptedOutcome::answerLost};
+    outcomes.insert(outcomes.end(), 100, fakes::ScriptedOutcome::down);
+    CHECK(run(store, makeRequest(0, "first"), outcomes).code == cli::ExitCode::unsure);
     CHECK(run(store, makeRequest(0, "first")).code == cli::ExitCode::success);
     CHECK(readHead(store).version == 1);
 }
@@ -130,11 +130,11 @@
                 one.submission.emplace(makeRequest(newest, "submission-" + std::to_string(++submitted)));
             }
             const store::Request request = one.submission->request();
-            const std::uint64_t fate = random.below(6);
+            const std::uint64_t choice = random.below(6);
             store::Outcome outcome = lost;
-            if (fate > 1) {
+            if (choice > 1) {
                 outcome = store.apply(request);
-            } else if (fate == 1) {
+            } else if (choice == 1) {
                 static_cast<void>(store.apply(request));
             } else {
                 delayed.push_back(request);
@@ -143,7 +143,7 @@
                 static_cast<void>(store.apply(delayed.back()));
                 delayed.pop_back();
             }
-            if (one.submission->take(outcome) == SubmissionStep::finished) {
+            if (one.submission->handleOutcome(outcome) == SubmissionStep::finished) {
                 const SubmissionResult &result = one.submission->result();
                 if (result.end == SubmissionEnd::accepted) {
                     acceptedAs[one.base + 1].insert(result.row->submission);
--- a/test/egretlatch/core/uuid.cpp
+++ b/test/egretlatch/core/uuid.cpp
@@ -8,10 +8,10 @@
 TEST_CASE("a minted UUID encodes its time with millisecond precision")
 {
     SeededRandom random{7};
-    UuidMint mint{random};
+    UuidGenerator uuidGenerator{random};
     const WallTime now{std::chrono::milliseconds{1'790'000'000'123}};
 
-    const Uuid uuid = mint.mint(now);
+    const Uuid uuid = uuidGenerator.generate(now);
 
     CHECK(uuid.mintedAt() == now);
     CHECK(uuid.toString()[14] == '7');
--- a/test/egretlatch/decision/configuration_spread.cpp
+++ b/test/egretlatch/decision/configuration_spread.cpp
@@ -58,21 +58,21 @@
     self.id = {"self"};
     self.incarnation = {1};
     const auto core = CoreBuilder{clock, random, metrics}.setSelf(self).followPlatform().setConfigurationFeed().build();
-    int asked = 0;
-    const auto count = [&asked](const Actions &actions) {
+    int requests = 0;
+    const auto count = [&requests](const Actions &actions) {
         for (const Action &action : actions) {
             const auto *const send = std::get_if<SendToPeer>(&action);
-            asked += send != nullptr && std::holds_alternative<configuration::BodyRequest>(send->message) ? 1 : 0;
+            requests += send != nullptr && std::holds_alternative<configuration::BodyRequest>(send->message) ? 1 : 0;
         }
     };
     for (const char *const peer : {"left", "right"}) {
         const configuration::Advert advert{.version = 7, .hash = "h", .endpoint = "tcp://peer"};
         count(core->handle(PeerMessage{.envelope = {.sender = {peer}, .incarnation = {1}, .message = advert}}));
     }
-    CHECK(asked == 1);
+    CHECK(requests == 1);
     for (int step = 0; step < 35; ++step) {
         clock.advance(10ms);
         count(core->handle(Tick{}));
     }
-    CHECK(asked >= 3);
+    CHECK(requests >= 3);
 }
--- a/test/egretlatch/http/connections.cpp
+++ b/test/egretlatch/http/connections.cpp
@@ -108,7 +108,7 @@
     ClientPool pool;
     std::vector<Outcome> outcomes;
 
-    TicketId send(const std::string &name)
+    ClientRequestId send(const std::string &name)
     {
         OutgoingRequest outgoing;
         const Request request{.method = "GET", .target = "/", .headers = {{.name = "X-Request-Id", .value = name}}, .body = {}};
@@ -204,7 +204,7 @@
         return outcome.has_value();
     }));
     REQUIRE(std::holds_alternative<Failure>(*outcome));
-    CHECK(std::get<Failure>(*outcome) == Failure::neverConnected);
+    CHECK(std::get<Failure>(*outcome) == Failure::notConnected);
 }
 
 TEST_CASE("a caller that disconnects before its answer is reported immediately")
--- a/test/egretlatch/membership/gossip_figures.cpp
+++ b/test/egretlatch/membership/gossip_figures.cpp
@@ -90,8 +90,8 @@
 TEST_CASE("dissemination times and bytes in a simulated network stay within their bounds")
 {
     // Measured in simulated time, so the bounds hold on any machine. The environment variable sets a larger fleet.
-    const char *const asked = std::getenv("EGRETLATCH_GOSSIP_DAEMONS");
-    const std::size_t count = asked == nullptr ? 60 : std::strtoul(asked, nullptr, 10);
+    const char *const setting = std::getenv("EGRETLATCH_GOSSIP_DAEMONS");
+    const std::size_t count = setting == nullptr ? 60 : std::strtoul(setting, nullptr, 10);
     for (const double loss : {0.0, 0.3}) {
         const Figures figures = measure(count, loss);
         MESSAGE(count,
--- a/test/egretlatch/protocol/codec.cpp
+++ b/test/egretlatch/protocol/codec.cpp
@@ -14,7 +14,7 @@
     SeededRandom random{3};
     CallRequest request;
     request.call = {7};
-    request.root = UuidMint{random}.mint(WallTime{std::chrono::milliseconds{1'790'000'000'000}});
+    request.root = UuidGenerator{random}.generate(WallTime{std::chrono::milliseconds{1'790'000'000'000}});
     request.service = "launch-log";
     request.kind = "launch-entry";
     request.method = "POST";
@@ -42,7 +42,7 @@
     answer.headers = {{.name = "Retry-After", .value = "1"}};
     answer.body = "body";
     account::Refusal refusal;
-    refusal.id = UuidMint{random}.mint(WallTime{});
+    refusal.id = UuidGenerator{random}.generate(WallTime{});
     refusal.reason = account::RefusalReason::overloadInQueue;
     refusal.rule = "the queue is full";
     refusal.figures = {{.name = "queued", .value = 12}};
@@ -53,7 +53,7 @@
         .inFlight = 3, .limit = 4, .queued = 5, .level = {.priority = 2, .fraction = 0.25}, .queueDelay = std::chrono::milliseconds{6}, .draining = true};
     answer.attemptsReturned = 1;
     answer.slotTime = std::chrono::milliseconds{15};
-    answer.pace = admission::KindPace{.kind = "launch-entry", .own = std::chrono::milliseconds{21}, .failing = 0.5};
+    answer.performance = admission::KindPerformance{.kind = "launch-entry", .ownTime = std::chrono::milliseconds{21}, .failureShare = 0.5};
     return answer;
 }
 
@@ -84,7 +84,7 @@
     for (const membership::RumourKind kind : {membership::RumourKind::configuration, membership::RumourKind::departure, membership::RumourKind::quarantine}) {
         gossip.rumours.push_back({.key = {.kind = kind, .key = "key"}, .version = 18, .payload = "payload", .remaining = std::chrono::seconds{19}});
     }
-    gossip.paces = {{.kind = "launch-entry", .own = std::chrono::milliseconds{20}, .failing = 0.25}};
+    gossip.performance = {{.kind = "launch-entry", .ownTime = std::chrono::milliseconds{20}, .failureShare = 0.25}};
     return gossip;
 }
 
--- a/test/egretlatch/retry/shard_grants.cpp
+++ b/test/egretlatch/retry/shard_grants.cpp
@@ -52,7 +52,7 @@
             const store::RequestId id{++lastRequestId};
             grants.noteRequestSent(id, request);
             const store::Outcome down = tl::unexpected{Error{ErrorCode::unavailable, "down"}};
-            static_cast<void>(grants.take(id, isDown ? down : table.ask(request), clock.steadyNow()));
+            static_cast<void>(grants.handleOutcome(id, isDown ? down : table.apply(request), clock.steadyNow()));
         }
     }
 
@@ -60,10 +60,10 @@
     [[nodiscard]] double servedShare()
     {
         constexpr int keys = 2000;
-        UuidMint mint{random};
+        UuidGenerator uuidGenerator{random};
         int served = 0;
         for (int number = 0; number < keys; ++number) {
-            const Uuid key = mint.mint(clock.wallNow());
+            const Uuid key = uuidGenerator.generate(clock.wallNow());
             const std::optional<KeyOwner> owner = daemons.begin()->second->ownerOf(key);
             for (const auto &[candidate, grants] : daemons) {
                 served += owner.has_value() && owners[candidate] == *owner && grants->owns(key) ? 1 : 0;
--- a/test/egretlatch/routing/adaptive_router.cpp
+++ b/test/egretlatch/routing/adaptive_router.cpp
@@ -233,19 +233,19 @@
     fleet.add("far-1", "dc2");
     fleet.add("far-2", "dc3");
     SteadyTime now = start;
-    const auto reportPaces = [&fleet, &now](const Duration near) {
-        fleet.router.notePaces({"near"}, {{.kind = "read", .own = near, .failing = 0.0}}, now);
-        fleet.router.notePaces({"far-1"}, {{.kind = "read", .own = 200ms, .failing = 0.0}}, now);
-        fleet.router.notePaces({"far-2"}, {{.kind = "read", .own = 200ms, .failing = 0.0}}, now);
+    const auto reportPerformance = [&fleet, &now](const Duration near) {
+        fleet.router.notePerformance({"near"}, {{.kind = "read", .ownTime = near, .failureShare = 0.0}}, now);
+        fleet.router.notePerformance({"far-1"}, {{.kind = "read", .ownTime = 200ms, .failureShare = 0.0}}, now);
+        fleet.router.notePerformance({"far-2"}, {{.kind = "read", .ownTime = 200ms, .failureShare = 0.0}}, now);
     };
     const auto result = [](const DaemonId &id) -> AttemptResult {
         return {.outcome = AttemptOutcome::answered, .kind = "read", .latency = id.value == "near" ? 500ms : 200ms, .bytes = 5000, .load = std::nullopt};
     };
-    reportPaces(500ms);
+    reportPerformance(500ms);
     std::map<std::string, int> whileSlow = fleet.makeCalls(100, now, result);
     now += 60s;
     std::map<std::string, int> afterSilence = fleet.makeCalls(100, now, result);
-    reportPaces(200ms);
+    reportPerformance(200ms);
     std::map<std::string, int> afterwards = fleet.makeCalls(100, now, answered);
 
     CHECK(whileSlow["near"] == 0);
@@ -263,7 +263,7 @@
     }
     SteadyTime now = start;
     const auto result = [&fleet, &now](const DaemonId &id) -> AttemptResult {
-        fleet.router.notePaces(id, {{.kind = "read", .own = 5ms, .failing = id.value == "bad" ? 0.25 : 0.0}}, now);
+        fleet.router.notePerformance(id, {{.kind = "read", .ownTime = 5ms, .failureShare = id.value == "bad" ? 0.25 : 0.0}}, now);
         return answered(id);
     };
 
@@ -279,8 +279,8 @@
     fleet.add("near", "dc1");
     fleet.add("far", "dc2");
     SteadyTime now = start;
-    fleet.router.notePaces({"near"}, {{.kind = "read", .own = 300ms, .failing = 0.0}}, now);
-    fleet.router.notePaces({"far"}, {{.kind = "read", .own = 150ms, .failing = 0.0}}, now);
+    fleet.router.notePerformance({"near"}, {{.kind = "read", .ownTime = 300ms, .failureShare = 0.0}}, now);
+    fleet.router.notePerformance({"far"}, {{.kind = "read", .ownTime = 150ms, .failureShare = 0.0}}, now);
     const auto result = [](const DaemonId &) -> AttemptResult {
         return {.outcome = AttemptOutcome::answered, .kind = "read", .latency = 300ms, .bytes = 1'000'000, .load = std::nullopt};
     };
@@ -309,15 +309,15 @@
 
 TEST_CASE("reports on a server lose weight over time and are removed with the server")
 {
-    ServerPaces paces;
-    paces.note({"slow"}, {.kind = "read", .own = 300ms, .failing = 0.0}, start);
-    paces.note({"fast"}, {.kind = "read", .own = 100ms, .failing = 0.0}, start);
-
-    CHECK(paces.mean("read") == 200ms);
-    CHECK(paces.excessTime({"slow"}, "read", start) == 100ms);
-    CHECK(paces.excessTime({"fast"}, "read", start) == -100ms);
-    CHECK(paces.excessTime({"slow"}, "read", start + 30s) < 10ms);
-    CHECK(paces.excessTime({"unknown"}, "read", start) == 0ms);
-    paces.forget({"slow"});
-    CHECK(paces.excessTime({"slow"}, "read", start) == 0ms);
+    ServerPerformance performance;
+    performance.note({"slow"}, {.kind = "read", .ownTime = 300ms, .failureShare = 0.0}, start);
+    performance.note({"fast"}, {.kind = "read", .ownTime = 100ms, .failureShare = 0.0}, start);
+
+    CHECK(performance.mean("read") == 200ms);
+    CHECK(performance.excessTime({"slow"}, "read", start) == 100ms);
+    CHECK(performance.excessTime({"fast"}, "read", start) == -100ms);
+    CHECK(performance.excessTime({"slow"}, "read", start + 30s) < 10ms);
+    CHECK(performance.excessTime({"unknown"}, "read", start) == 0ms);
+    performance.forget({"slow"});
+    CHECK(performance.excessTime({"slow"}, "read", start) == 0ms);
 }
--- a/test/egretlatch/settings/sidecar_settings.cpp
+++ b/test/egretlatch/settings/sidecar_settings.cpp
@@ -30,8 +30,8 @@
     REQUIRE(settings.has_value());
     CHECK(settings->callers == net::Endpoint{.address = "10.0.0.1", .port = 1});
     CHECK(settings->peerPort == 7620);
-    CHECK(std::count(settings->boundTexts.begin(), settings->boundTexts.end(), "grace=6s") == 1);
-    CHECK(std::count(settings->boundTexts.begin(), settings->boundTexts.end(), "budget_slack=47") == 1);
+    CHECK(std::count(settings->boundEntries.begin(), settings->boundEntries.end(), "grace=6s") == 1);
+    CHECK(std::count(settings->boundEntries.begin(), settings->boundEntries.end(), "budget_slack=47") == 1);
 }
 
 TEST_CASE("the announced peer address is optional and must be an endpoint")
--- a/test/egretlatch/store/identified_write.cpp
+++ b/test/egretlatch/store/identified_write.cpp
@@ -31,9 +31,9 @@
     standin::PlatformStore store;
     IdentifiedWrite write = makeWrite("mine");
     static_cast<void>(store.apply(write.request()));
-    REQUIRE(write.take(lost) == WriteStep::askLater);
+    REQUIRE(write.handleOutcome(lost) == WriteStep::sendLater);
     CHECK(write.isOutcomeUnknown());
-    CHECK(write.take(store.apply(write.request())) == WriteStep::applied);
+    CHECK(write.handleOutcome(store.apply(write.request())) == WriteStep::applied);
     CHECK_FALSE(write.isOutcomeUnknown());
 }
 
@@ -41,9 +41,9 @@
 {
     standin::PlatformStore store;
     IdentifiedWrite write = makeWrite("mine");
-    REQUIRE(write.take(lost) == WriteStep::askLater);
-    REQUIRE(write.take(store.apply(write.request())) == WriteStep::ask);
-    CHECK(write.take(store.apply(write.request())) == WriteStep::applied);
+    REQUIRE(write.handleOutcome(lost) == WriteStep::sendLater);
+    REQUIRE(write.handleOutcome(store.apply(write.request())) == WriteStep::send);
+    CHECK(write.handleOutcome(store.apply(write.request())) == WriteStep::applied);
 }
 
 TEST_CASE("an attempt that arrives late, after the resend, is not taken for another writer's")
@@ -53,11 +53,11 @@
     standin::PlatformStore store;
     IdentifiedWrite write = makeWrite("mine");
     const Request delayed = write.request();
-    REQUIRE(write.take(lost) == WriteStep::askLater);
-    REQUIRE(write.take(store.apply(write.request())) == WriteStep::ask);
+    REQUIRE(write.handleOutcome(lost) == WriteStep::sendLater);
+    REQUIRE(write.handleOutcome(store.apply(write.request())) == WriteStep::send);
     static_cast<void>(store.apply(delayed));
-    REQUIRE(write.take(store.apply(write.request())) == WriteStep::ask);
-    CHECK(write.take(store.apply(write.request())) == WriteStep::applied);
+    REQUIRE(write.handleOutcome(store.apply(write.request())) == WriteStep::send);
+    CHECK(write.handleOutcome(store.apply(write.request())) == WriteStep::applied);
 }
 
 TEST_CASE("of concurrent writers that lose answers at random exactly one takes effect, and each learns its outcome")
@@ -67,7 +67,7 @@
         standin::PlatformStore store;
         constexpr std::size_t writers = 4;
         std::vector<IdentifiedWrite> writes;
-        std::vector<WriteStep> steps(writers, WriteStep::ask);
+        std::vector<WriteStep> steps(writers, WriteStep::send);
         for (std::size_t index = 0; index < writers; ++index) {
             writes.push_back(makeWrite("writer-" + std::to_string(index)));
         }
@@ -78,15 +78,15 @@
                 continue;
             }
             const Request request = writes[index].request();
-            const std::uint64_t fate = round < 200 ? random.below(4) : 0;
-            if (fate == 0) {
-                steps[index] = writes[index].take(store.apply(request));
-            } else if (fate == 1) {
+            const std::uint64_t choice = round < 200 ? random.below(4) : 0;
+            if (choice == 0) {
+                steps[index] = writes[index].handleOutcome(store.apply(request));
+            } else if (choice == 1) {
                 static_cast<void>(store.apply(request));
-                steps[index] = writes[index].take(lost);
+                steps[index] = writes[index].handleOutcome(lost);
             } else {
                 delayed.push_back(request);
-                steps[index] = writes[index].take(lost);
+                steps[index] = writes[index].handleOutcome(lost);
             }
             if (!delayed.empty() && random.below(2) == 0) {
                 static_cast<void>(store.apply(delayed.back()));
--- a/test/egretlatch/store/rate_limiter.cpp
+++ b/test/egretlatch/store/rate_limiter.cpp
@@ -13,11 +13,11 @@
     constexpr int daemons = 750;
     constexpr int seconds = 60;
     constexpr double fleetRate = 200.0;
-    RateLimiter cap{fleetRate, 1.0};
-    cap.setFleetSize(daemons);
+    RateLimiter limiter{fleetRate, 1.0};
+    limiter.setFleetSize(daemons);
     int taken = 0;
     for (int millisecond = 0; millisecond < seconds * 1000; ++millisecond) {
-        taken += cap.tryTake(SteadyTime{std::chrono::milliseconds{millisecond}}) ? 1 : 0;
+        taken += limiter.tryTake(SteadyTime{std::chrono::milliseconds{millisecond}}) ? 1 : 0;
     }
     CHECK(taken * daemons <= (fleetRate * seconds) + daemons);
     CHECK(taken * daemons >= fleetRate * seconds * 0.9);
--- a/test/fakes/fake_platform_port.hpp
+++ b/test/fakes/fake_platform_port.hpp
@@ -38,12 +38,12 @@
     {
     }
 
-    [[nodiscard]] egretlatch::store::Outcome ask(const egretlatch::store::Request &request) override
+    [[nodiscard]] egretlatch::store::Outcome send(const egretlatch::store::Request &request) override
     {
         using egretlatch::Error;
         using egretlatch::ErrorCode;
-        if (onAsk) {
-            onAsk(request);
+        if (beforeRequest) {
+            beforeRequest(request);
         }
         const ScriptedOutcome scripted = m_scriptedOutcomes.empty() ? ScriptedOutcome::answered : m_scriptedOutcomes.front();
         if (!m_scriptedOutcomes.empty()) {
@@ -67,7 +67,7 @@
     }
 
     /*! @brief Callback before each request, with which a test can interleave requests of other clients. */
-    std::function<void(const egretlatch::store::Request &)> onAsk;
+    std::function<void(const egretlatch::store::Request &)> beforeRequest;
 
 private:
     standin::PlatformStore &m_store;
--- a/test/fakes/in_memory_table.hpp
+++ b/test/fakes/in_memory_table.hpp
@@ -20,7 +20,7 @@
      * @param request Read, scan or write of the table; requests for objects fail with `notFound`.
      * @return The answer of a platform without failures.
      */
-    [[nodiscard]] egretlatch::store::Outcome ask(const egretlatch::store::Request &request)
+    [[nodiscard]] egretlatch::store::Outcome apply(const egretlatch::store::Request &request)
     {
         using namespace egretlatch::store;
         if (const auto *const read = std::get_if<TableRead>(&request)) {
--- a/test/history/schedule.cpp
+++ b/test/history/schedule.cpp
@@ -276,8 +276,8 @@
         transmit(index, *send);
     } else if (const auto *const start = std::get_if<decision::StartRun>(&action)) {
         startRun(index, *start);
-    } else if (const auto *const ask = std::get_if<decision::AskPlatform>(&action)) {
-        queryTable(index, *ask);
+    } else if (const auto *const toPlatform = std::get_if<decision::SendToPlatform>(&action)) {
+        queryTable(index, *toPlatform);
     } else if (const auto *const answer = std::get_if<decision::AnswerCaller>(&action)) {
         handleAnswer(index, *answer);
     }
@@ -304,9 +304,9 @@
         });
         return;
     }
-    const auto *const asked = std::get_if<protocol::CallRequest>(&send.message);
-    if (asked != nullptr && m_random.fraction() < m_faults.sendFailures) {
-        plan(between(0, 2), [this, from, generation = m_nodes[from].generation, failed = decision::SendFailed{.to = send.to, .call = asked->call}] {
+    const auto *const callRequest = std::get_if<protocol::CallRequest>(&send.message);
+    if (callRequest != nullptr && m_random.fraction() < m_faults.sendFailures) {
+        plan(between(0, 2), [this, from, generation = m_nodes[from].generation, failed = decision::SendFailed{.to = send.to, .call = callRequest->call}] {
             if (m_nodes[from].generation == generation) {
                 handleEvent(from, failed);
             }
@@ -328,9 +328,9 @@
     handleEvent(to, decision::PeerMessage{.envelope = envelope});
 }
 
-void Schedule::queryTable(const std::size_t index, const decision::AskPlatform &ask)
+void Schedule::queryTable(const std::size_t index, const decision::SendToPlatform &toPlatform)
 {
-    const auto reply = [this, index, generation = m_nodes[index].generation, id = ask.id](const store::Outcome &outcome) {
+    const auto reply = [this, index, generation = m_nodes[index].generation, id = toPlatform.id](const store::Outcome &outcome) {
         if (m_nodes[index].generation == generation) {
             handleEvent(index, decision::PlatformAnswered{.id = id, .outcome = outcome});
         }
@@ -343,17 +343,17 @@
     }
     const bool isLost = !m_isFaultFree && m_random.fraction() < m_faults.lostPlatformAnswers;
     if (!isLost) {
-        plan(between(1, 10), [this, reply, request = ask.request] {
-            reply(m_table.ask(request));
+        plan(between(1, 10), [this, reply, request = toPlatform.request] {
+            reply(m_table.apply(request));
         });
         return;
     }
     // The write may take effect before the request times out, long after it, or not at all.
     const Duration effect = between(1, 3000);
     const bool isDone = m_random.fraction() < 0.7;
-    plan(effect, [this, isDone, request = ask.request] {
+    plan(effect, [this, isDone, request = toPlatform.request] {
         if (isDone) {
-            static_cast<void>(m_table.ask(request));
+            static_cast<void>(m_table.apply(request));
         }
     });
     plan(std::chrono::milliseconds{500}, [reply] {
@@ -470,7 +470,7 @@
     }
     if (m_callers[caller].mintsOwnKeys) {
         const auto skew = std::chrono::duration_cast<WallTime::duration>(between(0, 2 * internal::maxSkewMs)) - std::chrono::milliseconds{internal::maxSkewMs};
-        m_callers[caller].key = UuidMint{m_random}.mint(m_clock.wallNow() + skew).toString();
+        m_callers[caller].key = UuidGenerator{m_random}.generate(m_clock.wallNow() + skew).toString();
         send(caller);
         return;
     }
--- a/test/history/schedule.hpp
+++ b/test/history/schedule.hpp
@@ -130,7 +130,7 @@
     void execute(std::size_t index, egretlatch::decision::Action &action);
     void transmit(std::size_t from, const egretlatch::decision::SendToPeer &send);
     void deliver(std::size_t to, const egretlatch::protocol::Envelope &envelope);
-    void queryTable(std::size_t index, const egretlatch::decision::AskPlatform &ask);
+    void queryTable(std::size_t index, const egretlatch::decision::SendToPlatform &toPlatform);
     void startRun(std::size_t index, const egretlatch::decision::StartRun &start);
     void stepRun(const RunPtr &run);
     void endRun(const RunPtr &run);
