--- a/src/egretlatch/admission/performance_meter.hpp
+++ b/src/egretlatch/admission/performance_meter.hpp
@@ -39,17 +39,17 @@
     void noteAbandoned(const std::string &kind, Duration ownTime, SteadyTime now);
 
     /**
-     * @brief Returns the pace of one kind.
+     * @brief Returns the performance for one kind.
      * @param kind Kind of the request.
      * @param now Current time.
-     * @return The pace, or nothing if there were too few runs or none recently.
+     * @return The performance, or nothing if there were too few runs or none recently.
      */
     [[nodiscard]] std::optional<KindPerformance> performanceOf(const std::string &kind, SteadyTime now) const;
 
     /**
-     * @brief Returns the paces to be reported to other daemons.
+     * @brief Returns the performance to be reported to other daemons.
      * @param now Current time.
-     * @return The paces of the kinds that ran recently, at most `maxReportedPaces`.
+     * @return The performance for the kinds that ran recently, at most `maxReportedKinds`.
      */
     [[nodiscard]] std::vector<KindPerformance> performance(SteadyTime now) const;
 
--- a/src/egretlatch/cli/request_timeline.hpp
+++ b/src/egretlatch/cli/request_timeline.hpp
@@ -49,7 +49,8 @@
 
     /**
      * @brief Formats the timeline as sentences, with inner calls indented below their request.
-     * @return The text to print; `notFound` if no line mentions the request, with the gaps in the logs that leave open whether it succeeded.
+     * @return The text to print; `notFound` if no line mentions the request, with the gaps in the logs that leave open whether
+     * it succeeded.
      */
     [[nodiscard]] CommandResult asText() const;
 
--- a/src/egretlatch/cli/sidecar_command.cpp
+++ b/src/egretlatch/cli/sidecar_command.cpp
@@ -53,7 +53,8 @@
     if (!settings.has_value()) {
         return ExitCode::badInput;
     }
-    // One malloc arena for all threads: the few threads that Qt starts allocate little, and a separate arena for each would hold more memory than they use.
+    // One malloc arena for all threads: the few threads that Qt starts allocate little, and a separate arena for each would
+    // hold more memory than they use.
     mallopt(M_ARENA_MAX, 1);
     const int signalDescriptor = openSignalDescriptor({SIGTERM, SIGINT, SIGHUP});
     QCoreApplication::setEventDispatcher(new net::EventDispatcher);
--- a/src/egretlatch/cli/sidecar_command.hpp
+++ b/src/egretlatch/cli/sidecar_command.hpp
@@ -7,7 +7,8 @@
 {
 
 /**
- * @brief Runs the daemon on a VM managed by the platform until it has drained after SIGTERM or SIGINT; SIGHUP reloads the settings.
+ * @brief Runs the daemon on a VM managed by the platform until it has drained after SIGTERM or SIGINT; SIGHUP reloads the
+ * settings.
  * @param settingsPath Path of its settings file (JSON).
  * @param argc Count of the program's arguments.
  * @param argv The program's arguments.
--- a/src/egretlatch/cli/signal_descriptor.hpp
+++ b/src/egretlatch/cli/signal_descriptor.hpp
@@ -10,7 +10,8 @@
 {
 
 /**
- * @brief Blocks signals and opens a descriptor from which the main thread reads them; a signal handler may call hardly any function.
+ * @brief Blocks signals and opens a descriptor from which the main thread reads them; a signal handler may call hardly any
+ * function.
  *
  * Must be called before any thread starts, so that all threads inherit the signal mask and none is interrupted.
  * @param signals The signals.
--- a/src/egretlatch/cli/status_command.hpp
+++ b/src/egretlatch/cli/status_command.hpp
@@ -41,7 +41,8 @@
 /**
  * @brief Merges the answers of several daemons into a table of the version in force on each known daemon.
  *
- * A daemon that answered is shown with its own report; any other with the highest version that an answering daemon received from it.
+ * A daemon that answered is shown with its own report; any other with the highest version that an answering daemon received
+ * from it.
  * @param answers The answers of the queried daemons.
  * @return The table as text; `lagging` if any daemon is behind the newest version or did not answer.
  */
--- a/src/egretlatch/configuration/follower.cpp
+++ b/src/egretlatch/configuration/follower.cpp
@@ -138,7 +138,8 @@
     if (isNewSource && m_sources.size() < internal::maxSources) {
         m_sources.push_back(*source);
     }
-    // The first peer that can supply the manifest is asked at once, even if a request to the store is pending: the store may hang.
+    // The first peer that can supply the manifest is asked at once, even if a request to the store is pending: the store may
+    // hang.
     const bool isFirstSource = isNewSource && m_sources.size() == 1;
     if (!isSame || isFirstSource) {
         m_objectRequest.reset();
--- a/src/egretlatch/core/uuid.hpp
+++ b/src/egretlatch/core/uuid.hpp
@@ -58,7 +58,7 @@
     }
 
     /**
-     * @brief Returns the time at which a version 7 UUID was minted.
+     * @brief Returns the time at which a version 7 UUID was generated.
      * @return The time with millisecond precision, or nothing for other versions.
      */
     [[nodiscard]] std::optional<WallTime> mintedAt() const noexcept;
--- a/src/egretlatch/daemon/backend_client.cpp
+++ b/src/egretlatch/daemon/backend_client.cpp
@@ -63,7 +63,8 @@
 
 [[nodiscard]] static bool isConnectionError(const QNetworkReply::NetworkError error)
 {
-    // Qt also reports a status of 400 and above as an error, but then the response is complete. After a connection error it is not.
+    // Qt also reports a status of 400 and above as an error, but then the response is complete. After a connection error it is
+    // not.
     return error == QNetworkReply::RemoteHostClosedError || error == QNetworkReply::ContentReSendError || error == QNetworkReply::TimeoutError
         || error == QNetworkReply::OperationCanceledError || error == QNetworkReply::UnknownNetworkError || error == QNetworkReply::ProtocolFailure
         || error == QNetworkReply::TemporaryNetworkFailureError;
--- a/src/egretlatch/daemon/platform_client.hpp
+++ b/src/egretlatch/daemon/platform_client.hpp
@@ -46,7 +46,8 @@
     /**
      * @brief Sends a request. The handler is called exactly once, possibly before this function returns.
      *
-     * A write is sent at most once. `unavailable` and `rateLimited` guarantee that it had no effect; after `timedOut` the effect is unknown.
+     * A write is sent at most once. `unavailable` and `rateLimited` guarantee that it had no effect; after `timedOut` the
+     * effect is unknown.
      * @param request Request to send.
      * @param onOutcome Receives the outcome, on this thread.
      */
--- a/src/egretlatch/decision/configuration_delegate.hpp
+++ b/src/egretlatch/decision/configuration_delegate.hpp
@@ -12,8 +12,8 @@
 {
 public:
     /**
-     * @brief Builds an outlet.
-     * @param context State of the core; must outlive the outlet.
+     * @brief Builds a delegate.
+     * @param context State of the core; must outlive the delegate.
      * @param contacts Daemons to use as peers while the roster has none.
      */
     ConfigurationDelegate(CoreContext &context, std::vector<configuration::Peer> contacts);
--- a/src/egretlatch/decision/core.hpp
+++ b/src/egretlatch/decision/core.hpp
@@ -240,7 +240,8 @@
     CoreBuilder &setDelivery(Delivery delivery);
 
     /**
-     * @brief Allows the daemon to raise its incarnation, reported by IncarnationRaised, if its previous one supersedes the current one.
+     * @brief Allows the daemon to raise its incarnation, reported by IncarnationRaised, if its previous one supersedes the
+     * current one.
      * @return This builder.
      */
     CoreBuilder &allowIncarnationRaise();
--- a/src/egretlatch/decision/entry_keys.cpp
+++ b/src/egretlatch/decision/entry_keys.cpp
@@ -192,8 +192,8 @@
         return;
     }
     if (!key.uuid().has_value() && key.age() > ageOf(now)) {
-        // Not minted here: its age lies in the future. Recorded, it would be the last key to be forgotten, and forgetting it would
-        // close all keys minted up to that age.
+        // Not minted here: its age lies in the future. Recorded, it would be the last key to be forgotten, and forgetting it
+        // would close all keys minted up to that age.
         finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, "the key was not minted by its owner"), now);
         return;
     }
--- a/src/egretlatch/decision/entry_rules.hpp
+++ b/src/egretlatch/decision/entry_rules.hpp
@@ -17,8 +17,11 @@
      * use the attempts of its own kind; the limit over all hops is the retry ratio and the slack of each service.
      */
     bool countsOnlyArrivals{};
-    /*! @brief Repeats that a service accepts beyond its retry ratio from the whole fleet, divided among the daemons. If unset, each daemon has a limit of its
-     * own. */
+    /**
+     * @brief Repeats that a service accepts beyond its retry ratio from the whole fleet, divided among the daemons.
+     *
+     * If unset, each daemon has a limit of its own.
+     */
     std::optional<double> retrySlack;
     /*! @brief Propagates traces with calls. Without a collector they only cost traffic between data centres. */
     bool traces{true};
--- a/src/egretlatch/decision/serving_handler.hpp
+++ b/src/egretlatch/decision/serving_handler.hpp
@@ -139,9 +139,9 @@
     [[nodiscard]] int nextOrdinal(ExecutionId execution, std::uint64_t call);
 
     /**
-     * @brief Returns the measured pace of the backend server.
+     * @brief Returns the measured performance of the backend server.
      * @param now Current time.
-     * @return Its pace for each kind that ran recently.
+     * @return Its performance for each kind that ran recently.
      */
     [[nodiscard]] std::vector<admission::KindPerformance> performance(SteadyTime now) const
     {
--- a/src/egretlatch/http/client_connection.hpp
+++ b/src/egretlatch/http/client_connection.hpp
@@ -36,7 +36,7 @@
 
 class ClientConnection;
 
-/*! @brief Notified when a connection is free for the next request or closed. */
+/*! @brief Notified when a connection becomes idle, and so is ready for the next request, or is closed. */
 class ClientConnectionListener
 {
 public:
@@ -62,7 +62,7 @@
     void open(const net::Endpoint &endpoint, OutgoingRequest outgoing);
 
     /**
-     * @brief Sends a request on a free connection.
+     * @brief Sends a request on an idle connection.
      * @param outgoing The request.
      */
     void send(OutgoingRequest outgoing);
--- a/src/egretlatch/http/client_pool.hpp
+++ b/src/egretlatch/http/client_pool.hpp
@@ -37,7 +37,7 @@
     ClientPool(net::Poller &poller, const Clock &clock, net::Endpoint endpoint, const ReadLimits &limits);
 
     /**
-     * @brief Sends a request on a free connection, or on a new one.
+     * @brief Sends a request on an idle connection, or on a new one.
      * @param outgoing The request; its result may be delivered before this returns.
      * @return Identifier for cancel().
      */
--- a/src/egretlatch/manifest/call_graph.hpp
+++ b/src/egretlatch/manifest/call_graph.hpp
@@ -11,7 +11,8 @@
  * @brief Validates the declared calls between kinds.
  *
  * A call to an undeclared kind is an error. A cycle, a deadline shorter than that of a called kind,
- * and limits that cannot be met (a cost, or the total cost of the call tree, beyond the deadline; a queue target not below it) are warnings.
+ * and limits that cannot be met (a cost, or the total cost of the call tree, beyond the deadline; a queue target not below it)
+ * are warnings.
  * @param manifest The manifest to check.
  * @return Every problem, with its JSON pointer into the document.
  */
--- a/src/egretlatch/membership/prober.hpp
+++ b/src/egretlatch/membership/prober.hpp
@@ -61,7 +61,8 @@
     void handleAck(std::uint64_t sequence);
 
     /**
-     * @brief Records that the transport cannot reach a member: its current probe goes on with indirect pings only, or it is probed next.
+     * @brief Records that the transport cannot reach a member: its current probe goes on with indirect pings only, or it is
+     * probed next.
      * @param target The member.
      */
     void noteUnreachable(const DaemonId &target);
--- a/src/egretlatch/membership/rumour.hpp
+++ b/src/egretlatch/membership/rumour.hpp
@@ -42,7 +42,7 @@
 struct Rumour
 {
     RumourKey key;
-    /*! @brief Of two rumours with the same key, the higher version is valid. */
+    /*! @brief Version of the rumour; of two rumours with the same key, the one with the higher version is valid. */
     std::uint64_t version{};
     /*! @brief At most `maxRumourBytes` bytes; rumours with more are dropped. */
     std::string payload;
--- a/src/egretlatch/membership/state_pull.cpp
+++ b/src/egretlatch/membership/state_pull.cpp
@@ -71,7 +71,8 @@
 
 void StatePull::noteNewState() noexcept
 {
-    // A pull that returned new state is followed by another soon: in a fleet that starts all at once, each daemon knows only a few.
+    // A pull that returned new state is followed by another soon: in a fleet that starts all at once, each daemon knows only a
+    // few.
     m_fastPullsLeft = std::max(m_fastPullsLeft, 1);
 }
 
--- a/src/egretlatch/peer/peer_authenticator.hpp
+++ b/src/egretlatch/peer/peer_authenticator.hpp
@@ -23,7 +23,8 @@
 public:
     /**
      * @brief Starts the thread.
-     * @param context Context of the sockets to protect; must outlive this object, whose thread ends once the context is shut down.
+     * @param context Context of the sockets to protect; must outlive this object, whose thread ends once the context is shut
+     * down.
      * @param acceptedKeys Public keys that may connect, as Z85 text.
      * @param metrics Receives counts of refused connections; must outlive this object.
      * @throws zmq::error_t If the context already has an authenticator.
--- a/src/egretlatch/peer/peer_link.hpp
+++ b/src/egretlatch/peer/peer_link.hpp
@@ -47,7 +47,7 @@
 };
 
 /**
- * @brief OutgoingRequest connection to another daemon, from opening to loss.
+ * @brief Outgoing connection to another daemon, from opening to loss.
  *
  * Messages are handed to ZeroMQ only once the connection is open, and ZeroMQ never reconnects it. Otherwise they would
  * stay in ZeroMQ's queue while a daemon is down and reach its next incarnation as if they were new, and a message already
--- a/src/egretlatch/peer/stream_link.hpp
+++ b/src/egretlatch/peer/stream_link.hpp
@@ -38,7 +38,7 @@
 };
 
 /**
- * @brief OutgoingRequest connection to another daemon, from opening to end; it is never reopened.
+ * @brief Outgoing connection to another daemon, from opening to end; it is never reopened.
  *
  * Detects a connection that stops responding without being closed, as happens in a network partition: callers would wait
  * on it until their deadlines, and so would later ones. If nothing is received after a send, a keepalive request is sent,
@@ -81,7 +81,8 @@
     [[nodiscard]] bool send(PendingFrame message, SteadyTime now);
 
     /**
-     * @brief Sends a keepalive request when the remote end is silent, and ends the link when it stays silent; may destroy the link.
+     * @brief Sends a keepalive request when the remote end is silent, and ends the link when it stays silent; may destroy the
+     * link.
      * @param now Current time.
      */
     void tick(SteadyTime now);
--- a/src/egretlatch/protocol/codec_parts.hpp
+++ b/src/egretlatch/protocol/codec_parts.hpp
@@ -49,7 +49,7 @@
     return headers;
 }
 
-/*! @brief Converts calls, their answers and paces; defined in call_codec.cpp. */
+/*! @brief Converts calls, their answers and performance reports; defined in call_codec.cpp. */
 void write(const CallRequest &request, wire::CallRequest &wire);
 [[nodiscard]] Result<Message> read(const wire::CallRequest &wire);
 void write(const CallAnswer &answer, wire::CallAnswer &wire);
--- a/src/egretlatch/protocol/messages.hpp
+++ b/src/egretlatch/protocol/messages.hpp
@@ -115,7 +115,7 @@
     friend bool operator==(const CallCancel &, const CallCancel &) = default;
 };
 
-/*! @brief Gossip about members, suspicions, rumours and paces. */
+/*! @brief Gossip about members, suspicions, rumours and the performance of backend servers. */
 using Gossip = membership::GossipMessage;
 
 using Message = std::variant<CallRequest, CallAnswer, CallCancel, Gossip, configuration::Advert, configuration::BodyRequest, configuration::BodyReply>;
--- a/src/egretlatch/routing/router.hpp
+++ b/src/egretlatch/routing/router.hpp
@@ -84,7 +84,7 @@
     virtual void noteResult(const DaemonId &daemon, const AttemptResult &result, SteadyTime now) = 0;
 
     /**
-     * @brief Records the speed that a daemon reports for its server.
+     * @brief Records the performance that a daemon reports for its server.
      * @param daemon The daemon.
      * @param performance Run times and failure shares of its server, by kind of call.
      * @param now Current time.
--- a/src/egretlatch/sidecar/level_log.hpp
+++ b/src/egretlatch/sidecar/level_log.hpp
@@ -26,7 +26,8 @@
      * @brief Checks if a line is due.
      * @param level Current level.
      * @param now Current time.
-     * @return True if the last line is at least a second old and the level has changed by a rank class, or by a tenth of one, since.
+     * @return True if the last line is at least a second old and the level has changed by a rank class, or by a tenth of one,
+     * since.
      */
     [[nodiscard]] bool isDue(const admission::Level &level, SteadyTime now) const;
 
--- a/src/egretlatch/sidecar/sidecar.cpp
+++ b/src/egretlatch/sidecar/sidecar.cpp
@@ -245,7 +245,7 @@
     } else if (const auto *const entry = std::get_if<decision::LogRequest>(&action)) {
         m_requestLog.write(*entry);
     } else if (const auto *const inForce = std::get_if<decision::ManifestInForce>(&action)) {
-        m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"bringer", inForce->sourceDaemon.value}});
+        m_logger.info("configuration in force", {{"version", inForce->version}, {"hash", inForce->hash}, {"sourceDaemon", inForce->sourceDaemon.value}});
         applyConfiguration();
     } else if (const auto *const changed = std::get_if<decision::MemberChanged>(&action)) {
         m_logger.info("member changed", {{"member", changed->id.value}, {"state", membership::toString(changed->state)}});
--- a/test/egretlatch/admission/performance_meter.cpp
+++ b/test/egretlatch/admission/performance_meter.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("a pace is reported after some runs, follows a server that becomes slow, and expires without runs")
+TEST_CASE("performance is reported after some runs, follows a server that becomes slow, and expires without runs")
 {
     PerformanceMeter meter;
     meter.noteCompleted("read", 100ms, start);
@@ -48,7 +48,7 @@
     CHECK(meter.performanceOf("read", start)->failureShare < 0.01);
 }
 
-TEST_CASE("a run abandoned early does not change the pace")
+TEST_CASE("a run abandoned early does not change the performance")
 {
     PerformanceMeter meter;
     for (int run = 0; run < 20; ++run) {
--- a/test/golden/session.hpp
+++ b/test/golden/session.hpp
@@ -17,7 +17,8 @@
 {
 
 /**
- * @brief Simulates callers, an entry daemon and two daemons with backend servers of `launch-log`, and records what the callers see.
+ * @brief Simulates callers, an entry daemon and two daemons with backend servers of `launch-log`, and records what the callers
+ * see.
  *
  * Decisions, key handling and answers are those of the real daemons. Messages between daemons arrive at once, runs end when
  * the test ends them, and the clock and the seeds are fixed, so that the same steps give the same text.
