--- a/src/egretlatch/daemon/backend_client.cpp
+++ b/src/egretlatch/daemon/backend_client.cpp
@@ -45,7 +45,7 @@
 
 [[nodiscard]] static decision::RunFailure toRunFailure(const QNetworkReply::NetworkError error)
 {
-    return error == QNetworkReply::ConnectionRefusedError ? decision::RunFailure::neverConnected : decision::RunFailure::lost;
+    return error == QNetworkReply::ConnectionRefusedError ? decision::RunFailure::notConnected : decision::RunFailure::lost;
 }
 
 [[nodiscard]] static decision::RunAnswer toRunAnswer(QNetworkReply &reply, const int status)
@@ -63,7 +63,8 @@
 
 [[nodiscard]] static bool isConnectionError(const QNetworkReply::NetworkError error)
 {
-    // Qt also reports a status of 400 and above as an error, but then the response is complete. After a connection error it is not.
+    // Qt also reports a status of 400 and above as an error, but then the response is complete. After a connection error it is
+    // not.
     return error == QNetworkReply::RemoteHostClosedError || error == QNetworkReply::ContentReSendError || error == QNetworkReply::TimeoutError
         || error == QNetworkReply::OperationCanceledError || error == QNetworkReply::UnknownNetworkError || error == QNetworkReply::ProtocolFailure
         || error == QNetworkReply::TemporaryNetworkFailureError;
--- a/src/egretlatch/daemon/platform_client.hpp
+++ b/src/egretlatch/daemon/platform_client.hpp
@@ -46,11 +46,12 @@
     /**
      * @brief Sends a request. The handler is called exactly once, possibly before this function returns.
      *
-     * A write is sent at most once. `unavailable` and `rateLimited` guarantee that it had no effect; after `timedOut` the effect is unknown.
+     * A write is sent at most once. `unavailable` and `rateLimited` guarantee that it had no effect; after `timedOut` the
+     * effect is unknown.
      * @param request Request to send.
      * @param onOutcome Receives the outcome, on this thread.
      */
-    void ask(const store::Request &request, OutcomeHandler onOutcome);
+    void send(const store::Request &request, OutcomeHandler onOutcome);
 
 private:
     PlatformAccess m_access;
--- a/src/egretlatch/protocol/messages.hpp
+++ b/src/egretlatch/protocol/messages.hpp
@@ -101,8 +101,8 @@
     std::vector<ServiceLevel> levels;
     /*! @brief Slot time that a request of the kind uses at each service down its chain; included only in some answers. */
     admission::SlotTimeByService chain;
-    /*! @brief Pace of the backend server for the kind that was called, if known. */
-    std::optional<admission::KindPace> pace;
+    /*! @brief Performance of the backend server for the kind that was called, if known. */
+    std::optional<admission::KindPerformance> performance;
 
     friend bool operator==(const CallAnswer &, const CallAnswer &) = default;
 };
@@ -115,7 +115,7 @@
     friend bool operator==(const CallCancel &, const CallCancel &) = default;
 };
 
-/*! @brief Gossip about members, suspicions, rumours and paces. */
+/*! @brief Gossip about members, suspicions, rumours and the performance of backend servers. */
 using Gossip = membership::GossipMessage;
 
 using Message = std::variant<CallRequest, CallAnswer, CallCancel, Gossip, configuration::Advert, configuration::BodyRequest, configuration::BodyReply>;
