--- a/scripts/experiments/charts.py
+++ b/scripts/experiments/charts.py
@@ -1,4 +1,4 @@
-"""Charts by second as inline SVG, without any library."""
+"""Charts by second as inline SVG, without a plotting library."""
 
 import dataclasses
 import html
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Marker:
-    """A vertical line with a word beside it."""
+    """Describes a vertical line with a label."""
 
     second: float
     text: str
@@ -22,15 +22,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Frame:
-    """What the charts of one report share."""
+    """Holds the settings that all charts of a report share."""
 
     seconds: int
     overload: tuple  # (from, to) in seconds, or None
-    word: str  # what stands in the overload's band
+    label: str  # text in the band that marks the overload
 
 
 def nice_ceiling(value):
-    """Give a round number not below a value."""
+    """Returns a round number not below a value."""
     if value <= 0:
         return 1
     power = 10 ** (len(str(int(value))) - 1)
@@ -38,34 +38,34 @@
 
 
 def colours_of(names):
-    """Give {name: colour}, the same for the same names."""
+    """Returns {name: colour}, the same for the same names."""
     return {name: COLOURS[index % len(COLOURS)] for index, name in enumerate(names)}
 
 
 class Chart:
-    """Places points by second and value."""
+    """Draws one chart of values by second."""
 
-    def __init__(self, frame, height, most, title):
-        self.frame, self.height, self.most = frame, height, most
+    def __init__(self, frame, height, maximum, title):
+        self.frame, self.height, self.maximum = frame, height, maximum
         self.parts = [f'<text x="{LEFT}" y="14" class="title">{html.escape(title)}</text>']
         if frame.overload:
             left, right = (self.x(second) for second in frame.overload)
             self.parts.append(f'<rect x="{left:.1f}" y="{TOP}" width="{right - left:.1f}" height="{self.bottom() - TOP}" class="overload"/>')
-            self.parts.append(f'<text x="{left + 5:.1f}" y="{TOP + 13}" class="overload-word">{html.escape(frame.word)}</text>')
+            self.parts.append(f'<text x="{left + 5:.1f}" y="{TOP + 13}" class="overload-word">{html.escape(frame.label)}</text>')
         self.draw_axes()
 
     def x(self, second):
         return LEFT + second / self.frame.seconds * (WIDTH - LEFT - RIGHT)
 
     def y(self, value):
-        return self.bottom() - min(value / self.most, 1.0) * (self.bottom() - TOP)
+        return self.bottom() - min(value / self.maximum, 1.0) * (self.bottom() - TOP)
 
     def bottom(self):
         return self.height - BOTTOM
 
     def draw_axes(self):
         for step in range(5):
-            value = self.most * step / 4
+            value = self.maximum * step / 4
             self.parts.append(f'<line x1="{LEFT}" x2="{WIDTH - RIGHT}" y1="{self.y(value):.1f}" y2="{self.y(value):.1f}" class="grid"/>')
             self.parts.append(f'<text x="{LEFT - 8}" y="{self.y(value) + 4:.1f}" class="axis" text-anchor="end">{value:g}</text>')
         spacing = next(step for step in (1, 2, 5, 10, 20, 60, 120, 600, 3600) if self.frame.seconds / step <= 14)
@@ -73,7 +73,7 @@
             self.parts.append(f'<text x="{self.x(second):.1f}" y="{self.bottom() + 17}" class="axis" text-anchor="middle">{second} s</text>')
 
     def draw_areas(self, series, colours):
-        """Draw {name: values by second} on top of one another."""
+        """Draws {name: values by second} as stacked areas."""
         floor = [0.0] * self.frame.seconds
         for name, values in series.items():
             ceiling = [low + value for low, value in zip(floor, values)]
@@ -84,7 +84,7 @@
             floor = ceiling
 
     def draw_bars(self, series, colours):
-        """Draw {name: values by second} as bars on top of one another."""
+        """Draws {name: values by second} as stacked bars."""
         floor = [0.0] * self.frame.seconds
         width = (self.x(1) - self.x(0)) * 0.8
         for name, values in series.items():
@@ -112,6 +112,6 @@
 
 
 def legend(colours):
-    """Give a line of HTML with a swatch for each name."""
+    """Returns a line of HTML with a colour swatch for each name."""
     swatches = (f'<span><i style="background:{colour}"></i>{html.escape(name)}</span>' for name, colour in colours.items())
     return f'<p class="legend">{"".join(swatches)}</p>'
--- a/scripts/experiments/report.py
+++ b/scripts/experiments/report.py
@@ -1,4 +1,4 @@
-"""The report of an experiment: one HTML page that is looked at first and read second."""
+"""Renders the report of an experiment as one HTML page, with charts before tables."""
 
 import dataclasses
 import html
@@ -36,51 +36,51 @@
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """One run of a scenario with one policy and one seed."""
+    """Holds one run of a scenario with one policy and one seed."""
 
     policy: str
     seed: int
-    result: dict  # what the load tool wrote
+    result: dict  # result of the load tool
     checks: object  # checks.Checks
-    events: list  # what happened to processes: {"atMs", "text"}
+    events: list  # process events: {"atMs", "text"}
 
 
 @dataclasses.dataclass(frozen=True)
 class Experiment:
-    """All runs of a scenario."""
+    """Holds all runs of a scenario."""
 
     scenario: dict
     runs: list
-    could: list  # possible weighted goodput by second
+    ceiling: list  # possible weighted goodput by second
 
 
 @dataclasses.dataclass(frozen=True)
 class Figures:
-    """The numbers by which runs are compared."""
+    """Holds the figures by which runs are compared."""
 
-    goodput: float  # worth a second over the whole run
-    share: float  # of the possible weighted goodput, over the whole run
+    goodput: float  # worth per second over the whole run
+    share: float  # share of the possible weighted goodput over the whole run
     overload_share: float  # the same over the overload alone
     recovery: float  # seconds; None if not within the run
     violations: int
 
 
 def overload_of(run):
-    """Give (from, to) of the declared overload, or None."""
+    """Returns (from, to) of the declared overload, in seconds, or None."""
     recovery = run.result["recovery"]
     return (recovery["fromSecond"], recovery["toSecond"]) if recovery["toSecond"] > recovery["fromSecond"] else None
 
 
-def share_of(earned, could):
-    return sum(earned) / sum(could) if sum(could) else 0.0
+def share_of(earned, ceiling):
+    return sum(earned) / sum(ceiling) if sum(ceiling) else 0.0
 
 
-def figures_of(run, could):
-    """Give the figures of a run; `could` is the possible weighted goodput by second."""
+def figures_of(run, ceiling):
+    """Returns the figures of a run; `ceiling` is the possible weighted goodput by second."""
     earned = run.result["bySecond"]["worth"]
     span = slice(*(overload_of(run) or (0, None)))
     return Figures(
-        goodput=sum(earned) / len(earned), share=share_of(earned, could), overload_share=share_of(earned[span], could[span]),
+        goodput=sum(earned) / len(earned), share=share_of(earned, ceiling), overload_share=share_of(earned[span], ceiling[span]),
         recovery=run.result["recovery"]["seconds"], violations=run.checks.violations())
 
 
@@ -99,7 +99,7 @@
 
 
 def spread(values):
-    """Give the mean, and the least and the most if there are several values."""
+    """Returns the mean as text, with minimum and maximum if there are several values."""
     text = f"{statistics.mean(values):.1f}"
     return text if len(values) == 1 else f"{text} <span class=small>({min(values):.1f} to {max(values):.1f})</span>"
 
@@ -112,12 +112,12 @@
     return ", ".join(parts)
 
 
-def summary_rows(runs, could):
-    """Give the cells of the table of policies, in the order of their first run."""
+def summary_rows(runs, ceiling):
+    """Returns the rows of the table of policies, in the order of their first run."""
     rows = []
     for policy in dict.fromkeys(run.policy for run in runs):
         own = [run for run in runs if run.policy == policy]
-        figures = [figures_of(run, could) for run in own]
+        figures = [figures_of(run, ceiling) for run in own]
         totals = [run.result["totals"] for run in own]
         recovery = recovery_spread([one.recovery for one in figures]) if overload_of(own[0]) else "-"
         rows.append([
@@ -127,7 +127,7 @@
     return rows
 
 
-SUMMARY_HEAD = ["policy", "runs", "worth/s", "% of possible", "% in overload", "recovery", "attempts a request", "violations"]
+SUMMARY_HEAD = ["policy", "runs", "worth/s", "% of possible", "% in overload", "recovery", "attempts per request", "violations"]
 
 
 def tile(value, text, good=None):
@@ -151,12 +151,12 @@
     return charts.Frame(run.result["seconds"], overload_of(run), "overload" if is_surge else "fault")
 
 
-def goodput_chart(run, could, most, colours):
+def goodput_chart(run, ceiling, most, colours):
     result = run.result
-    chart = charts.Chart(frame_of(run), GOODPUT_HEIGHT, most, "weighted goodput, worth a second")
+    chart = charts.Chart(frame_of(run), GOODPUT_HEIGHT, most, "weighted goodput, worth per second")
     chart.draw_areas(worth_by_kind(result), colours)
     chart.draw_line(offered_by_second(result), "offered")
-    chart.draw_line(could, "possible")
+    chart.draw_line(ceiling, "possible")
     for number, event in enumerate(run.events[:MOST_EVENTS]):
         chart.draw_marker(charts.Marker((event["atMs"] - result["startedAtMs"]) / 1000, event["text"], "#7b8794"), number + 1)
     recovery = result["recovery"]
@@ -167,7 +167,7 @@
 
 
 def worth_by_kind(result):
-    """Give {kind: worth by second} of the kinds that earn any."""
+    """Returns {kind: worth by second} for the kinds that have worth."""
     return {name: [count * kind["worthOfOne"] for count in kind["completedBySecond"]]
             for name, kind in sorted(result["kinds"].items()) if kind["worthOfOne"] > 0}
 
@@ -183,10 +183,10 @@
     result = run.result
     causes = {name: values for name, values in sorted(result["bySecond"]["causes"].items()) if any(values)}
     if not causes:
-        return "<p class=small>Every attempt was answered whole.</p>"
+        return "<p class=small>Every attempt completed.</p>"
     most = charts.nice_ceiling(max(sum(values) for values in zip(*causes.values())))
     colours = charts.colours_of(causes)
-    title = "attempts a second that did not complete, by reason"
+    title = "attempts per second that did not complete, by reason"
     chart = charts.Chart(frame_of(run), REFUSAL_HEIGHT, most, title)
     chart.draw_bars(causes, colours)
     return chart.to_svg() + charts.legend(colours)
@@ -203,33 +203,33 @@
 KIND_HEAD = ["kind", "worth of one", "sent", "attempts", "completed", "refused", "may have run", "failed", "cancelled", "p50 ms", "p99 ms"]
 
 
-def run_section(run, could, most, colours):
+def run_section(run, ceiling, most, colours):
     title = f"<h2>{html.escape(run.policy)} <span class=small>seed {run.seed}</span></h2>"
     lines = "<p class=legend><span>- - possible</span><span>··· offered</span></p>"
-    return (f"<section>{title}{tiles(run, figures_of(run, could))}{goodput_chart(run, could, most, colours)}{charts.legend(colours)}{lines}"
+    return (f"<section>{title}{tiles(run, figures_of(run, ceiling))}{goodput_chart(run, ceiling, most, colours)}{charts.legend(colours)}{lines}"
             f"{refusal_chart(run)}{table(KIND_HEAD, kind_rows(run.result))}</section>")
 
 
-DEFINITIONS = """<section><h2>What the numbers mean</h2><p class=small>
-Weighted goodput: worth of the requests whose whole answer came back in a second; inner calls and resends earn nothing.
-Possible: what the slots could earn at most from what was offered (scripts/experiments/possible.py says how); no policy
-reaches it. Recovery: time from the end of the overload to the first second from which weighted goodput stays at 95 % of
+DEFINITIONS = """<section><h2>Definitions</h2><p class=small>
+Weighted goodput: worth of the requests that completed in each second; inner calls and resends earn nothing.
+Possible: the most worth that the slots could earn from the offered requests (see scripts/experiments/possible.py); no
+policy reaches it. Recovery: time from the end of the overload to the first second from which weighted goodput stays at 95 % of
 the level before, or above, for three seconds. Violations: answers that belong to another request, keys of requests that
 are not idempotent run twice, keys run whose last answer said not-run, and completed keys that no backend server ran.
-docs/LOAD.md has the rest.</p></section>"""
+See docs/LOAD.md for details.</p></section>"""
 
 
 def to_html(scenario, manifest, runs):
-    """Write the report; the first run of each policy is drawn, all are in the table."""
-    could = possible.possible_by_second(scenario, manifest)
+    """Returns the report; the first run of each policy is charted, all are in the table."""
+    ceiling = possible.possible_by_second(scenario, manifest)
     first = list({run.policy: run for run in reversed(runs)}.values())[::-1]
-    most = charts.nice_ceiling(1.2 * max(max(could), max(max(run.result["bySecond"]["worth"]) for run in runs)))
+    most = charts.nice_ceiling(1.2 * max(max(ceiling), max(max(run.result["bySecond"]["worth"]) for run in runs)))
     colours = charts.colours_of(sorted(name for name, kind in first[0].result["kinds"].items() if kind["worthOfOne"] > 0))
     phases = ", ".join(f"{phase['name']} {phase['seconds']} s at {phase['rate']}/s" for phase in scenario["phases"])
     body = (f"<h1>{html.escape(scenario['name'])}</h1><p>{html.escape(scenario.get('story', ''))}</p>"
-            f"<p class=small>{html.escape(scenario['deployment'])}, {scenario.get('servers', 2)} backend servers a service; {phases}</p>"
-            f"<section><h2>Policies</h2>{table(SUMMARY_HEAD, summary_rows(runs, could))}</section>"
-            + "".join(run_section(run, could, most, colours) for run in first) + DEFINITIONS)
+            f"<p class=small>{html.escape(scenario['deployment'])}, {scenario.get('servers', 2)} backend servers per service; {phases}</p>"
+            f"<section><h2>Policies</h2>{table(SUMMARY_HEAD, summary_rows(runs, ceiling))}</section>"
+            + "".join(run_section(run, ceiling, most, colours) for run in first) + DEFINITIONS)
     return page(scenario["name"], body)
 
 
@@ -238,12 +238,12 @@
 
 
 def to_index(experiments):
-    """Write the table of several experiments."""
+    """Returns the page that compares several experiments."""
     rows = []
     for experiment in experiments:
         name = html.escape(experiment.scenario["name"])
         link = f'<a href="{name}/report.html">{name}</a>'
         checked = sum(run.checks.keys for run in experiment.runs)
-        rows += [[link, *cells, checked] for cells in summary_rows(experiment.runs, experiment.could)]
+        rows += [[link, *cells, checked] for cells in summary_rows(experiment.runs, experiment.ceiling)]
     body = f"<h1>Experiments</h1><section>{table(['scenario', *SUMMARY_HEAD, 'keys checked'], rows)}</section>"
     return page("Experiments", body + DEFINITIONS)
--- a/src/egretlatch/admission/adaptive_gate.hpp
+++ b/src/egretlatch/admission/adaptive_gate.hpp
@@ -3,28 +3,29 @@
 
 #include <map>
 
+#include <egretlatch/admission/admission_queue.hpp>
 #include <egretlatch/admission/concurrency_limit.hpp>
 #include <egretlatch/admission/gate.hpp>
 #include <egretlatch/admission/gate_rules.hpp>
 #include <egretlatch/admission/level_control.hpp>
 #include <egretlatch/admission/run_estimator.hpp>
-#include <egretlatch/admission/waiting_line.hpp>
 
 namespace egretlatch::admission
 {
 
 /**
- * @brief The gate of the whole design: a limit that adapts, a short queue in order of value, and a level for the entries.
+ * @brief Gate with an adaptive concurrency limit, a short queue ordered by value, and an admission level for entry daemons.
  *
- * A free slot is never kept from a request that waits: the level is for the daemons further up, which refuse by it what
- * would not get a slot here. What comes all the same is put in order and the least valuable is refused.
+ * A free slot is always given to a queued request, whatever the level: the level is meant for upstream daemons, which use
+ * it to refuse requests that would not get a slot here. Requests that arrive anyway are queued by value, and the least
+ * valuable are shed.
  */
 class AdaptiveGate final : public Gate
 {
 public:
     /**
-     * @brief Builds a gate without slots.
-     * @param rules What it may rely on, and whom it refuses.
+     * @brief Creates a gate without slots.
+     * @param rules Assumptions about the server, and rules for shedding.
      */
     explicit AdaptiveGate(const GateRules &rules = {});
 
@@ -44,19 +45,19 @@
         Duration cost{};
     };
 
-    [[nodiscard]] std::optional<GateRefusal> refusalOfHopeless(const Ticket &ticket, SteadyTime now) const;
-    void dropHopeless(SteadyTime now, GateRelease &release);
+    [[nodiscard]] std::optional<GateRefusal> refusalIfUnmeetable(const Ticket &ticket, SteadyTime now) const;
+    void refuseUnmeetable(SteadyTime now, GateRelease &release);
     void startWaiting(SteadyTime now, GateRelease &release);
     void shedExcess(const Ticket *arrived, SteadyTime now, GateRelease &release);
     void shedOverdue(SteadyTime now, GateRelease &release);
-    [[nodiscard]] GateRefusal refusalOf(const Waiting &waiting, bool hasJustArrived, SteadyTime now) const;
+    [[nodiscard]] GateRefusal refusalOf(const QueuedRequest &waiting, bool hasJustArrived, SteadyTime now) const;
     [[nodiscard]] std::chrono::milliseconds retryAfter(const Ticket &ticket) const;
     [[nodiscard]] Duration drainTime() const;
-    [[nodiscard]] Duration aimedDrainTime() const;
-    [[nodiscard]] const Waiting *nextToShed() const;
-    [[nodiscard]] Duration longestDrainTime(const Ticket &ticket) const;
-    void noteEnd(const Running &running, const Observation &observation, bool wasSaturated, SteadyTime now);
-    void moveLevel(SteadyTime now);
+    [[nodiscard]] Duration targetDrainTime() const;
+    [[nodiscard]] const QueuedRequest *nextToShed() const;
+    [[nodiscard]] Duration maxDrainTime(const Ticket &ticket) const;
+    void noteRunEnd(const Running &running, const Observation &observation, bool wasSaturated, SteadyTime now);
+    void updateLevel(SteadyTime now);
 
     GateRules m_rules;
     Duration m_queueTarget{std::chrono::milliseconds{20}};
@@ -64,7 +65,7 @@
     ConcurrencyLimit m_limit;
     LevelControl m_level;
     RunEstimator m_estimator;
-    WaitingLine m_waiting;
+    AdmissionQueue m_queue;
     std::map<ExecutionId, Running> m_running;
 };
 
--- a/src/egretlatch/admission/fwd.hpp
+++ b/src/egretlatch/admission/fwd.hpp
@@ -9,19 +9,19 @@
 struct Rank;
 struct RankClass;
 struct Level;
-struct NotedLevel;
-struct KindPace;
+struct ReportedLevel;
+struct KindPerformance;
 struct LoadReport;
 struct Ticket;
 struct Observation;
-struct GateAnswer;
+struct GateRefusal;
 struct GateRelease;
 struct EntryRequest;
 struct EntryRefusal;
-struct ServerNews;
-struct ServiceNews;
-struct Waiting;
-struct Pressure;
+struct ServerLoadReport;
+struct ServiceLevelReport;
+struct QueuedRequest;
+struct QueueState;
 struct LimitSample;
 
 class Gate;
@@ -35,12 +35,12 @@
 class OpenEntry;
 class ConcurrencyLimit;
 class LevelControl;
-class LevelNotes;
+class LevelReports;
 class RunEstimator;
-class WaitingLine;
+class AdmissionQueue;
 class ChainCosts;
 class CrashSuspects;
-class PaceMeter;
+class PerformanceMeter;
 
 } // namespace egretlatch::admission
 
--- a/src/egretlatch/admission/whole_chain_entry.hpp
+++ b/src/egretlatch/admission/whole_chain_entry.hpp
@@ -6,25 +6,25 @@
 #include <egretlatch/admission/chain_costs.hpp>
 #include <egretlatch/admission/cost_source.hpp>
 #include <egretlatch/admission/entry_control.hpp>
-#include <egretlatch/admission/level_notes.hpp>
+#include <egretlatch/admission/level_reports.hpp>
 #include <egretlatch/core/random_source.hpp>
 
 namespace egretlatch::admission
 {
 
 /**
- * @brief Refuses a root at once where the level of a service down its chain would refuse it.
+ * @brief Entry control that refuses a root if the level of any service of its call chain would refuse it.
  *
- * A root that fails at the tenth service has held slots at nine. Its place within its class is the same on each daemon, so
- * one that passes here passes further down as long as the levels stand.
+ * A root that is refused at the tenth service has already held slots at nine. Its position within its class is the same on
+ * every daemon, so a root admitted here is also admitted downstream while the levels do not change.
  */
 class WholeChainEntry final : public EntryControl
 {
 public:
     /**
-     * @brief Builds the control.
+     * @brief Creates the control.
      * @param random Source of random numbers for probes; must outlive it.
-     * @param costSource Where costs are known from.
+     * @param costSource Source of the costs.
      */
     explicit WholeChainEntry(RandomSource &random, CostSource costSource = CostSource::declared);
 
@@ -32,32 +32,32 @@
     [[nodiscard]] Rank rankOf(const std::string &service, const std::string &kind) const override;
     [[nodiscard]] RankClass classAt(const std::string &service, const std::string &kind, const Rank &rank, const RootCosts &costs) const override;
     [[nodiscard]] RootCosts costsOf(const std::string &service, const std::string &kind) const override;
-    void noteLoad(const ServerNews &news, SteadyTime now) override;
-    void noteLevel(const ServiceNews &news) override;
-    [[nodiscard]] std::vector<ServiceNews> levelsBelow(const std::string &service, SteadyTime now) override;
+    void noteLoad(const ServerLoadReport &report, SteadyTime now) override;
+    void noteLevel(const ServiceLevelReport &report) override;
+    [[nodiscard]] std::vector<ServiceLevelReport> downstreamLevels(const std::string &service, SteadyTime now) override;
     void noteRun(const RunCalls &run) override;
-    void noteChain(const KindName &kind, const ChainStops &stops) override;
-    [[nodiscard]] ChainStops learnedChain(const KindName &kind) const override;
+    void noteChain(const KindName &kind, const SlotTimeByService &slotTimes) override;
+    [[nodiscard]] SlotTimeByService learnedChain(const KindName &kind) const override;
     [[nodiscard]] std::optional<EntryRefusal> check(const EntryRequest &request, SteadyTime now) override;
 
 private:
-    struct Notes
+    struct KnownLevels
     {
-        /*! @brief What its serving daemons told of themselves. */
-        LevelNotes own;
-        /*! @brief The latest of what the daemons between told of it. */
-        NotedLevel passedOn;
+        /*! @brief Levels that its serving daemons reported themselves. */
+        LevelReports direct;
+        /*! @brief Latest level that intermediate daemons forwarded. */
+        ReportedLevel forwarded;
     };
 
     [[nodiscard]] std::optional<EntryRefusal> checkAt(const std::string &service, Duration held, const EntryRequest &request, SteadyTime now);
-    [[nodiscard]] NotedLevel levelOf(const std::string &service, SteadyTime now);
+    [[nodiscard]] ReportedLevel levelOf(const std::string &service, SteadyTime now);
 
     RandomSource &m_random;
     CostSource m_costSource;
     std::shared_ptr<const manifest::Manifest> m_manifest;
     ChainCosts m_costs;
     LearnedChains m_learned;
-    std::map<std::string, Notes> m_notes;
+    std::map<std::string, KnownLevels> m_levels;
 };
 
 } // namespace egretlatch::admission
--- a/src/egretlatch/cli/submit_command.cpp
+++ b/src/egretlatch/cli/submit_command.cpp
@@ -7,7 +7,7 @@
 
 #include <egretlatch/cli/documents.hpp>
 #include <egretlatch/cli/http_platform_port.hpp>
-#include <egretlatch/core/fresh_life.hpp>
+#include <egretlatch/core/new_incarnation.hpp>
 #include <egretlatch/core/uuid.hpp>
 #include <egretlatch/store/backoff.hpp>
 
@@ -22,8 +22,8 @@
 using configuration::SubmissionRequest;
 using configuration::SubmissionResult;
 
-constexpr std::chrono::milliseconds firstWait{200};
-constexpr std::chrono::seconds longestWait{5};
+constexpr std::chrono::milliseconds initialBackoff{200};
+constexpr std::chrono::seconds maxBackoff{5};
 
 [[nodiscard]] static std::string describe(const Head &head)
 {
@@ -70,9 +70,9 @@
     return {.code = ExitCode::badInput, .text = "refused: the platform does not accept the token, or does not understand the request\n"};
 }
 
-[[nodiscard]] static CommandResult describeGivenUp(const SubmissionRequest &request, const bool isUnsure, const std::string &reason)
+[[nodiscard]] static CommandResult describeUnfinished(const SubmissionRequest &request, const bool isOutcomeUnknown, const std::string &reason)
 {
-    if (!isUnsure) {
+    if (!isOutcomeUnknown) {
         return {.code = ExitCode::unavailable, .text = fmt::format("not submitted: {}; nothing was changed\n", reason)};
     }
     std::string text = fmt::format("unsure: the platform did not say whether this is version {}: {}\n", request.base + 1, reason);
@@ -82,22 +82,22 @@
 
 } // namespace internal
 
-CommandResult submit(const configuration::SubmissionRequest &request, PlatformPort &port, RandomSource &random, const Duration patience)
+CommandResult submit(const configuration::SubmissionRequest &request, PlatformPort &port, RandomSource &random, const Duration maxWait)
 {
     configuration::Submission submission{request};
-    store::Backoff backoff{internal::firstWait, internal::longestWait};
+    store::Backoff backoff{internal::initialBackoff, internal::maxBackoff};
     Duration waited{};
     while (true) {
-        const store::Outcome outcome = port.ask(submission.request());
-        const configuration::SubmissionStep step = submission.take(outcome);
+        const store::Outcome outcome = port.send(submission.request());
+        const configuration::SubmissionStep step = submission.handleOutcome(outcome);
         if (step == configuration::SubmissionStep::finished) {
             return internal::describeEnd(request, submission.result());
         }
-        if (step == configuration::SubmissionStep::ask) {
+        if (step == configuration::SubmissionStep::send) {
             continue;
         }
-        if (waited >= patience) {
-            return internal::describeGivenUp(request, submission.isUnsure(), outcome.has_value() ? "an odd answer" : outcome.error().message);
+        if (waited >= maxWait) {
+            return internal::describeUnfinished(request, submission.isOutcomeUnknown(), outcome.has_value() ? "an unexpected answer" : outcome.error().message);
         }
         const Duration wait = backoff.next(random);
         waited += wait;
@@ -141,12 +141,12 @@
     if (port == nullptr || !manifest.has_value()) {
         return ExitCode::badInput;
     }
-    SeededRandom random{freshSeed()};
+    SeededRandom random{randomSeed()};
     const SystemClock clock;
     configuration::SubmissionRequest request;
     request.base = options.base;
     request.manifest = *manifest;
-    request.id = options.submission.empty() ? UuidMint{random}.mint(clock.wallNow()).toString() : options.submission;
+    request.id = options.submission.empty() ? UuidGenerator{random}.generate(clock.wallNow()).toString() : options.submission;
     request.submitter = options.submitter;
     request.submitted = clock.wallNow();
     const CommandResult result = submit(request, *port, random, std::chrono::seconds{options.timeoutSeconds});
--- a/src/egretlatch/configuration/follower.cpp
+++ b/src/egretlatch/configuration/follower.cpp
@@ -12,9 +12,9 @@
 {
 
 constexpr std::chrono::milliseconds firstRetry{200};
-constexpr std::chrono::seconds longestFetchWait{4};
-constexpr std::size_t sourcesKept = 8;
-// Peers that are told what is in force in each interval, so that news reach those that missed the first wave.
+constexpr std::chrono::seconds maxFetchBackoff{4};
+constexpr std::size_t maxSources = 8;
+// Peers that receive an advert in each interval, so that those that missed the first one after a change get it as well.
 constexpr std::size_t steadyFanout = 2;
 
 [[nodiscard]] static Duration jittered(const Duration span, RandomSource &random)
@@ -25,12 +25,12 @@
 
 } // namespace internal
 
-Follower::Follower(Outlet &outlet, RandomSource &random, FollowerOptions options)
-    : m_outlet{outlet}
+Follower::Follower(FollowerDelegate &delegate, RandomSource &random, FollowerOptions options)
+    : m_delegate{delegate}
     , m_random{random}
     , m_options{std::move(options)}
-    , m_pollBackoff{internal::firstRetry, m_options.longestPoll}
-    , m_fetchBackoff{internal::firstRetry, internal::longestFetchWait}
+    , m_pollBackoff{internal::firstRetry, m_options.maxPollInterval}
+    , m_fetchBackoff{internal::firstRetry, internal::maxFetchBackoff}
 {
 }
 
@@ -39,7 +39,7 @@
     if (!m_options.hasPlatform) {
         return;
     }
-    if (!m_options.isFed && now >= m_nextPoll && !m_headRequest.has_value()) {
+    if (!m_options.receivesManifests && now >= m_nextPoll && !m_headRequest.has_value()) {
         poll(now);
     }
     if (now >= m_nextAdvert) {
@@ -57,37 +57,37 @@
     if (!m_options.hasPlatform) {
         return;
     }
-    m_fleet[sender] = {.version = advert.version, .heard = now};
+    m_fleet[sender] = {.version = advert.version, .receivedAt = now};
     const Peer peer{.id = sender, .endpoint = advert.endpoint};
     if (advert.version > m_inForce.version) {
-        learn(advert.version, advert.hash, &peer, now);
+        raiseTarget(advert.version, advert.hash, &peer, now);
         return;
     }
     if (advert.version < m_inForce.version) {
-        // Whoever lags is told at once: a daemon that starts while the platform is down has no other way to learn.
-        m_outlet.send(peer, this->advert());
+        // A lagging peer gets a reply at once: a daemon that starts while the platform is down has no other source.
+        m_delegate.send(peer, this->advert());
         return;
     }
     if (advert.hash != m_inForce.hash) {
-        m_outlet.count("same-version-other-hash");
+        m_delegate.count("same-version-other-hash");
     }
 }
 
-void Follower::takeAccepted(const std::uint64_t version, const QByteArray &manifest, const SteadyTime now)
+void Follower::handleAccepted(const std::uint64_t version, const QByteArray &manifest, const SteadyTime now)
 {
     if (version <= m_inForce.version || version < m_target.version) {
         return;
     }
     m_target = {.version = version, .hash = contentHash(manifest)};
     m_sources.clear();
-    m_isUnusable = false;
-    takeBody(manifest, {}, now);
+    m_isTargetUnusable = false;
+    applyManifest(manifest, {}, now);
 }
 
 void Follower::handleBodyRequest(const DaemonId &sender, const BodyRequest &request)
 {
     const bool isHeld = m_inForce.version > 0 && request.hash == m_inForce.hash;
-    m_outlet.send({.id = sender, .endpoint = request.endpoint}, BodyReply{.hash = request.hash, .manifest = isHeld ? m_manifest : QByteArray{}});
+    m_delegate.send({.id = sender, .endpoint = request.endpoint}, BodyReply{.hash = request.hash, .manifest = isHeld ? m_manifest : QByteArray{}});
 }
 
 void Follower::handleBodyReply(const DaemonId &sender, const BodyReply &reply, const SteadyTime now)
@@ -99,46 +99,47 @@
         fetch(now);
         return;
     }
-    takeBody(reply.manifest, sender, now);
+    applyManifest(reply.manifest, sender, now);
 }
 
 bool Follower::handleOutcome(const store::RequestId id, const store::Outcome &outcome, const SteadyTime now)
 {
     if (m_headRequest == id) {
         m_headRequest.reset();
-        takeHead(outcome, now);
+        handleHeadOutcome(outcome, now);
         return true;
     }
     if (m_objectRequest == id) {
         m_objectRequest.reset();
-        takeObject(outcome, now);
+        handleObjectOutcome(outcome, now);
         return true;
     }
     return false;
 }
 
-void Follower::learn(const std::uint64_t version, const std::string &hash, const Peer *const source, const SteadyTime now)
+void Follower::raiseTarget(const std::uint64_t version, const std::string &hash, const Peer *const source, const SteadyTime now)
 {
     if (version <= m_inForce.version || version < m_target.version) {
         return;
     }
     const bool isSame = version == m_target.version && hash == m_target.hash;
     if (version == m_target.version && !isSame && source != nullptr) {
-        m_outlet.count("same-version-other-hash");
+        m_delegate.count("same-version-other-hash");
         return;
     }
     if (!isSame) {
         m_target = {.version = version, .hash = hash};
         m_sources.clear();
-        m_isUnusable = false;
+        m_isTargetUnusable = false;
         m_fetchDue.reset();
         m_fetchBackoff.reset();
     }
     const bool isNewSource = source != nullptr && std::find(m_sources.begin(), m_sources.end(), *source) == m_sources.end();
-    if (isNewSource && m_sources.size() < internal::sourcesKept) {
+    if (isNewSource && m_sources.size() < internal::maxSources) {
         m_sources.push_back(*source);
     }
-    // A store that hangs must not hold back a daemon that has just found a peer to ask.
+    // The first peer that can supply the manifest is asked at once, even if a request to the store is pending: the store may
+    // hang.
     const bool isFirstSource = isNewSource && m_sources.size() == 1;
     if (!isSame || isFirstSource) {
         m_objectRequest.reset();
@@ -149,16 +150,16 @@
 
 void Follower::fetch(const SteadyTime now)
 {
-    if (!isBehind() || m_isUnusable || m_objectRequest.has_value()) {
+    if (!isBehind() || m_isTargetUnusable || m_objectRequest.has_value()) {
         return;
     }
-    // Peers and the store in turn: either may be out of reach for long. Where manifests are handed over whole, the store has
-    // no turn, and the next peer is asked as soon as one has not answered.
-    const bool isStoresTurn = m_wasPeerAskedLast && !m_options.isFed;
-    if (m_sources.empty() || isStoresTurn) {
+    // Alternates between peers and the store, since either may be unreachable for long. Where the caller supplies manifests by
+    // handleAccepted(), the store is skipped, and another peer is asked as soon as one has not answered in time.
+    const bool isTurnOfStore = m_wasPeerAskedLast && !m_options.receivesManifests;
+    if (m_sources.empty() || isTurnOfStore) {
         m_wasPeerAskedLast = false;
-        if (m_options.isFed) {
-            retryFetch(now);
+        if (m_options.receivesManifests) {
+            scheduleFetchRetry(now);
             return;
         }
         fetchFromStore();
@@ -167,46 +168,46 @@
     m_wasPeerAskedLast = true;
     const Peer &source = m_sources[m_random.below(m_sources.size())];
     m_fetchDue = now + m_options.bodyTimeout;
-    m_outlet.send(source, BodyRequest{.hash = m_target.hash, .endpoint = m_options.endpoint});
+    m_delegate.send(source, BodyRequest{.hash = m_target.hash, .endpoint = m_options.endpoint});
 }
 
 void Follower::fetchFromStore()
 {
-    m_objectRequest = m_outlet.ask(store::ObjectGet{.name = objectName(m_target.hash)});
+    m_objectRequest = m_delegate.sendToPlatform(store::ObjectGet{.name = objectName(m_target.hash)});
 }
 
-void Follower::retryFetch(const SteadyTime now)
+void Follower::scheduleFetchRetry(const SteadyTime now)
 {
     m_fetchDue = now + m_fetchBackoff.next(m_random);
 }
 
-void Follower::takeBody(const QByteArray &manifest, const DaemonId &bringer, const SteadyTime now)
+void Follower::applyManifest(const QByteArray &manifest, const DaemonId &source, const SteadyTime now)
 {
     if (!isBehind()) {
         return;
     }
-    // Bytes from a peer or the store may be cut, stale or forged; only those that the head row names are taken.
+    // Bytes from a peer or the store may be truncated, stale or forged; only those with the hash in the head row are accepted.
     if (contentHash(manifest) != m_target.hash) {
-        m_outlet.count("hash-mismatch");
-        retryFetch(now);
+        m_delegate.count("hash-mismatch");
+        scheduleFetchRetry(now);
         return;
     }
     m_fetchDue.reset();
     const tl::expected<manifest::ParsedManifest, settings::Problems> parsed = manifest::parseManifest(manifest);
     if (!parsed.has_value()) {
-        // Accepted by a newer program than this one: it stays with what it has, and status shows that it lags.
-        m_isUnusable = true;
-        m_outlet.count("manifest-not-understood");
+        // The manifest was accepted by a newer version of the program. The current one stays in force, and status shows the lag.
+        m_isTargetUnusable = true;
+        m_delegate.count("manifest-not-understood");
         return;
     }
     m_inForce = m_target;
     m_manifest = manifest;
     m_sources.clear();
-    m_outlet.putInForce(m_inForce.version, parsed->manifest, bringer);
+    m_delegate.putInForce(m_inForce.version, parsed->manifest, source);
     advertise(m_options.fanout);
 }
 
-void Follower::takeHead(const store::Outcome &outcome, const SteadyTime now)
+void Follower::handleHeadOutcome(const store::Outcome &outcome, const SteadyTime now)
 {
     if (!outcome.has_value()) {
         m_nextPoll = now + m_pollBackoff.next(m_random);
@@ -220,48 +221,48 @@
     }
     const std::optional<Head> head = decodeHead(reply->rows.front().value);
     if (!head.has_value()) {
-        m_outlet.count("head-not-understood");
+        m_delegate.count("head-not-understood");
         return;
     }
-    learn(head->version, head->hash, nullptr, now);
+    raiseTarget(head->version, head->hash, nullptr, now);
 }
 
-void Follower::takeObject(const store::Outcome &outcome, const SteadyTime now)
+void Follower::handleObjectOutcome(const store::Outcome &outcome, const SteadyTime now)
 {
     const auto *const object = outcome.has_value() ? std::get_if<store::ObjectReply>(&*outcome) : nullptr;
     if (object == nullptr) {
-        retryFetch(now);
+        scheduleFetchRetry(now);
         return;
     }
-    takeBody(object->bytes, {}, now);
+    applyManifest(object->bytes, {}, now);
 }
 
 void Follower::poll(const SteadyTime now)
 {
     schedulePoll(now);
-    m_headRequest = m_outlet.ask(store::TableRead{.key = headKey});
+    m_headRequest = m_delegate.sendToPlatform(store::TableRead{.key = headKey});
 }
 
 void Follower::schedulePoll(const SteadyTime now)
 {
-    const double seconds = static_cast<double>(m_outlet.peers().size() + 1) / m_options.fleetPollsPerSecond;
+    const double seconds = static_cast<double>(m_delegate.peers().size() + 1) / m_options.fleetPollsPerSecond;
     const auto share = std::chrono::duration_cast<Duration>(std::chrono::duration<double>{seconds});
-    m_nextPoll = now + internal::jittered(std::clamp(share, m_options.shortestPoll, m_options.longestPoll), m_random);
+    m_nextPoll = now + internal::jittered(std::clamp(share, m_options.minPollInterval, m_options.maxPollInterval), m_random);
 }
 
 void Follower::advertise(const std::size_t count)
 {
-    std::vector<Peer> peers = m_outlet.peers();
-    forgetGone(peers);
+    std::vector<Peer> peers = m_delegate.peers();
+    removeGonePeers(peers);
     for (std::size_t sent = 0; sent < count && !peers.empty(); ++sent) {
         const std::size_t chosen = m_random.below(peers.size());
-        m_outlet.send(peers[chosen], advert());
+        m_delegate.send(peers[chosen], advert());
         peers[chosen] = peers.back();
         peers.pop_back();
     }
 }
 
-void Follower::forgetGone(const std::vector<Peer> &peers)
+void Follower::removeGonePeers(const std::vector<Peer> &peers)
 {
     std::set<DaemonId> known;
     for (const Peer &peer : peers) {
--- a/src/egretlatch/daemon/decide_thread.hpp
+++ b/src/egretlatch/daemon/decide_thread.hpp
@@ -19,26 +19,26 @@
 namespace egretlatch::daemon
 {
 
-/*! @brief Runs the decision core: reads the inward rings, writes the outward ones. */
+/*! @brief Runs the decision core: reads events from the event rings and writes actions to the action rings. */
 class DecideThread
 {
 public:
     using DrainedHandler = std::function<void()>;
 
     /**
-     * @brief Builds the thread without starting it.
-     * @param core The decision core; touched by this thread only, once it runs.
-     * @param inward Rings that it reads; must outlive it.
-     * @param outward Rings that it writes; must outlive it.
-     * @param waker The waker of the inward rings; must outlive it.
-     * @param metrics Takes counts of dropped orders; must outlive it.
-     * @param logger Takes what people should know; must outlive it.
-     * @param droppedRefusals Counts refusals that the account thread had no room for; must outlive it.
-     * @param onDrained Called once nothing is in flight after a drain.
+     * @brief Creates the thread without starting it.
+     * @param core Decision core; used by this thread only once it runs.
+     * @param eventRings Rings to read from; must outlive this object.
+     * @param actionRings Rings to write to; must outlive this object.
+     * @param waker Waker of the event rings; must outlive this object.
+     * @param metrics Receives gauges and the count of dropped actions; must outlive this object.
+     * @param logger Receives log lines; must outlive this object.
+     * @param droppedRefusals Counts refusals dropped because the ring to the account thread was full; must outlive this object.
+     * @param onDrained Called on this thread when nothing is in flight after a drain.
      */
     DecideThread(std::unique_ptr<decision::Core> core,
-                 InwardRings &inward,
-                 OutwardRings &outward,
+                 EventRings &eventRings,
+                 ActionRings &actionRings,
                  ConditionWaker &waker,
                  account::MetricsSink &metrics,
                  const Logger &logger,
@@ -54,8 +54,8 @@
     void start();
 
     /**
-     * @brief Describes what this daemon knows, for `/status`; may be called from any thread.
-     * @return A JSON document; an earlier one if the deciding thread is too busy to write it.
+     * @brief Returns the status of this daemon for `/status`. May be called from any thread.
+     * @return A JSON document; the last one written if this thread does not write a new one within 100 ms.
      */
     [[nodiscard]] std::string status();
 
@@ -64,24 +64,24 @@
     [[nodiscard]] bool drainRings();
     [[nodiscard]] bool drainRing(Ring<decision::Event> &ring);
     void handle(const decision::Event &event);
-    void carryOut(decision::Action action);
-    void publishFigures();
+    void execute(decision::Action action);
+    void publishGauges();
     void writeStatus();
-    [[nodiscard]] bool sendToPeer(decision::SendToPeer order);
-    void announceFleetSize();
+    [[nodiscard]] bool sendToPeer(decision::SendToPeer action);
+    void forwardFleetSize();
 
     std::unique_ptr<decision::Core> m_core;
-    InwardRings &m_inward;
-    OutwardRings &m_outward;
+    EventRings &m_eventRings;
+    ActionRings &m_actionRings;
     ConditionWaker &m_waker;
     account::MetricsSink &m_metrics;
     const Logger &m_logger;
     account::DroppedTally &m_droppedRefusals;
     DrainedHandler m_onDrained;
     std::atomic<bool> m_isStopping{false};
-    SteadyTime m_lastFigures;
+    SteadyTime m_lastGaugeUpdate;
     int m_fleetSize{};
-    std::atomic<bool> m_isStatusWanted{false};
+    std::atomic<bool> m_isStatusRequested{false};
     std::mutex m_statusMutex;
     std::condition_variable m_statusWritten;
     std::string m_status{"{}"};
--- a/src/egretlatch/daemon/refusal_recorder.cpp
+++ b/src/egretlatch/daemon/refusal_recorder.cpp
@@ -12,27 +12,27 @@
 constexpr std::chrono::milliseconds tickInterval{500};
 constexpr std::chrono::milliseconds closingTickInterval{20};
 constexpr std::chrono::seconds storeInterval{30};
-// While more than one batch waits, as after an outage.
+// Used while further batches are pending, as after an outage of the store.
 constexpr std::chrono::seconds catchUpInterval{2};
-constexpr std::chrono::seconds firstRetry{1};
-constexpr std::chrono::seconds longestRetry{60};
-constexpr std::chrono::seconds closeTime{2};
+constexpr std::chrono::seconds initialRetryDelay{1};
+constexpr std::chrono::seconds maxRetryDelay{60};
+constexpr std::chrono::seconds closeTimeout{2};
 
 } // namespace internal
 
 RefusalRecorder::RefusalRecorder(
-    const PlatformAccess &access, DaemonId daemon, const Incarnation incarnation, account::DroppedTally &tally, account::MetricsSink &metrics)
+    const PlatformAccess &access, DaemonId daemon, const Incarnation incarnation, account::DroppedTally &droppedRefusals, account::MetricsSink &metrics)
     : m_hasPlatform{!access.url.empty()}
     , m_client{access}
-    , m_tally{tally}
+    , m_droppedRefusals{droppedRefusals}
     , m_metrics{metrics}
     , m_ledger{std::move(daemon), incarnation}
     , m_random{incarnation.value}
-    , m_backoff{internal::firstRetry, internal::longestRetry}
+    , m_backoff{internal::initialRetryDelay, internal::maxRetryDelay}
 {
-    // A first interval of random length, so that daemons that started together do not store together.
+    // The first interval has a random length, so that daemons that started together do not store at the same time.
     const auto interval = static_cast<std::uint64_t>(std::chrono::nanoseconds{internal::storeInterval}.count());
-    m_due = std::chrono::steady_clock::now() + Duration{static_cast<Duration::rep>(m_random.below(interval))};
+    m_nextStore = std::chrono::steady_clock::now() + Duration{static_cast<Duration::rep>(m_random.below(interval))};
     connect(&m_timer, &QTimer::timeout, this, &RefusalRecorder::tick);
     m_timer.start(internal::tickInterval);
 }
@@ -58,11 +58,11 @@
         m_ledger.close(std::chrono::system_clock::now());
     }
     m_isClosing = true;
-    m_due = {};
+    m_nextStore = {};
     m_timer.setInterval(internal::closingTickInterval);
     tick();
     QEventLoop loop;
-    QTimer::singleShot(internal::closeTime, &loop, &QEventLoop::quit);
+    QTimer::singleShot(internal::closeTimeout, &loop, &QEventLoop::quit);
     connect(&m_timer, &QTimer::timeout, &loop, [this, &loop] {
         if (!m_isStoring) {
             loop.quit();
@@ -86,7 +86,7 @@
 
 void RefusalRecorder::tick()
 {
-    if (m_hasPlatform && !m_isStoring && std::chrono::steady_clock::now() >= m_due) {
+    if (m_hasPlatform && !m_isStoring && std::chrono::steady_clock::now() >= m_nextStore) {
         store();
     }
 }
@@ -96,18 +96,18 @@
     std::optional<account::AccountBatch> batch;
     {
         const std::lock_guard lock{m_mutex};
-        if (const std::optional<account::DroppedRefusals> dropped = m_tally.take()) {
+        if (const std::optional<account::DroppedRefusals> dropped = m_droppedRefusals.take()) {
             m_ledger.addDropped(*dropped);
         }
         batch = m_ledger.nextBatch();
     }
     if (!batch.has_value()) {
-        m_due = std::chrono::steady_clock::now() + internal::storeInterval;
+        m_nextStore = std::chrono::steady_clock::now() + internal::storeInterval;
         return;
     }
     m_isStoring = true;
     const store::ObjectPut put{.name = account::objectName(*batch), .bytes = account::encodeBatch(*batch)};
-    m_client.ask(put, [this](const store::Outcome &outcome) {
+    m_client.send(put, [this](const store::Outcome &outcome) {
         handleOutcome(outcome);
     });
 }
@@ -117,24 +117,24 @@
     m_isStoring = false;
     const SteadyTime now = std::chrono::steady_clock::now();
     if (!outcome.has_value()) {
-        // The same batch again under the same name: whether the first put took effect does not matter.
+        // The retry puts the same batch under the same name, so it does not matter if the failed put took effect.
         m_metrics.count("account_batches", "failed");
-        m_due = now + m_backoff.next(m_random);
+        m_nextStore = now + m_backoff.next(m_random);
         return;
     }
     m_metrics.count("account_batches", "stored");
     m_backoff.reset();
-    bool isMoreWaiting = false;
+    bool hasPending = false;
     {
         const std::lock_guard lock{m_mutex};
         m_ledger.acknowledge();
-        isMoreWaiting = m_ledger.waiting() > 0;
+        hasPending = m_ledger.pendingCount() > 0;
     }
     if (m_isClosing) {
         store();
         return;
     }
-    m_due = now + (isMoreWaiting ? Duration{internal::catchUpInterval} : Duration{internal::storeInterval});
+    m_nextStore = now + (hasPending ? Duration{internal::catchUpInterval} : Duration{internal::storeInterval});
 }
 
 } // namespace egretlatch::daemon
--- /dev/null
+++ b/src/egretlatch/decision/configuration_delegate.hpp
@@ -0,0 +1,34 @@
+#ifndef EGRETLATCH_DECISION_CONFIGURATION_DELEGATE_HPP
+#define EGRETLATCH_DECISION_CONFIGURATION_DELEGATE_HPP
+
+#include <egretlatch/configuration/follower_delegate.hpp>
+#include <egretlatch/decision/core_context.hpp>
+
+namespace egretlatch::decision
+{
+
+/*! @brief Translates the output of the configuration follower into actions of the core. */
+class ConfigurationDelegate final : public configuration::FollowerDelegate
+{
+public:
+    /**
+     * @brief Builds a delegate.
+     * @param context State of the core; must outlive the delegate.
+     * @param contacts Daemons to use as peers while the roster has none.
+     */
+    ConfigurationDelegate(CoreContext &context, std::vector<configuration::Peer> contacts);
+
+    [[nodiscard]] store::RequestId sendToPlatform(store::Request request) override;
+    void send(const configuration::Peer &peer, configuration::PeerPayload message) override;
+    [[nodiscard]] std::vector<configuration::Peer> peers() const override;
+    void putInForce(std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId &sourceDaemon) override;
+    void count(std::string_view what) override;
+
+private:
+    CoreContext &m_context;
+    std::vector<configuration::Peer> m_contacts;
+};
+
+} // namespace egretlatch::decision
+
+#endif
--- a/src/egretlatch/decision/core_builder.cpp
+++ b/src/egretlatch/decision/core_builder.cpp
@@ -11,13 +11,13 @@
 {
 
 constexpr std::size_t defaultQueueCapacity = 1000;
-// A daemon whose call to the store has gone silent learns of a configuration from others alone, and has two seconds for it.
-// Every daemon of a fleet of up to seventeen is told at once by each that has it, and hears of it five times a second after
-// that, in place of twice.
+// A daemon whose connection to the store is silent learns of a configuration only from other daemons, and has two seconds to
+// do so. With this fanout, in a fleet of up to 17 daemons each one that has the configuration advertises it to all others at
+// once; with this interval, a daemon receives five adverts per second after that instead of two.
 constexpr std::size_t fedFanout = 16;
 constexpr std::chrono::milliseconds fedAdvertInterval{400};
-// A peer answers in milliseconds; with half a second for it and a turn of a store that is not asked here, one lost answer
-// cost 0.7 s of the two.
+// A peer answers within milliseconds. With a timeout of 500 ms, and a turn for the store, which is not queried here, one
+// lost answer cost 0.7 s of the two seconds.
 constexpr std::chrono::milliseconds fedBodyTimeout{150};
 
 } // namespace internal
@@ -67,7 +67,7 @@
 
 CoreBuilder &CoreBuilder::setConfigurationFeed()
 {
-    m_isFed = true;
+    m_receivesManifests = true;
     return *this;
 }
 
@@ -77,9 +77,9 @@
     return *this;
 }
 
-CoreBuilder &CoreBuilder::setDoorTimes(const DoorTimes &times)
+CoreBuilder &CoreBuilder::setDrainTimes(const DrainTimes &times)
 {
-    m_doorTimes = times;
+    m_drainTimes = times;
     return *this;
 }
 
@@ -95,7 +95,7 @@
     return *this;
 }
 
-CoreBuilder &CoreBuilder::allowRaise()
+CoreBuilder &CoreBuilder::allowIncarnationRaise()
 {
     m_mayRaise = true;
     return *this;
@@ -125,11 +125,11 @@
         m_gate = std::make_unique<admission::StaticGate>(1, internal::defaultQueueCapacity);
     }
     std::unique_ptr<Core> core{new Core};
-    core->m_surroundings.reset(new Surroundings{
+    core->m_context.reset(new CoreContext{
         .clock = m_clock,
         .random = m_random,
         .metrics = m_metrics,
-        .mint = UuidMint{m_random},
+        .uuidGenerator = UuidGenerator{m_random},
         .self = m_self.id,
         .incarnation = m_self.incarnation,
         .roster = membership::Roster{m_self},
@@ -140,42 +140,42 @@
         .manifestVersion = 0,
         .unownedKeys = m_unownedKeys,
         .delivery = m_delivery,
-        .born = m_clock.steadyNow(),
+        .startedAt = m_clock.steadyNow(),
         .actions = {},
         .lastPlatformRequest = {},
     });
     if (m_mayRaise) {
-        core->m_surroundings->roster.allowRaise();
+        core->m_context->roster.allowIncarnationRaise();
     }
-    core->m_serving = std::make_unique<ServingHandler>(*core->m_surroundings, std::move(m_gate));
+    core->m_serving = std::make_unique<ServingHandler>(*core->m_context, std::move(m_gate));
     std::unique_ptr<retry::ShardGrants> grants;
     if (m_grantTimes.has_value()) {
         grants = std::make_unique<retry::ShardGrants>(retry::KeyOwner{.daemon = m_self.id, .incarnation = m_self.incarnation}, m_random, *m_grantTimes);
     }
-    core->m_entry = std::make_unique<EntryHandler>(*core->m_surroundings, *core->m_serving, m_ledgerLimits, std::move(grants));
+    core->m_entry = std::make_unique<EntryHandler>(*core->m_context, *core->m_serving, m_ledgerLimits, std::move(grants));
     core->m_entry->setRules(m_entryRules);
-    core->m_doorTimes = m_doorTimes;
+    core->m_drainTimes = m_drainTimes;
     std::vector<configuration::Peer> peers;
     for (const membership::Contact &contact : m_contacts) {
         peers.push_back({.id = contact.id, .endpoint = contact.endpoint});
     }
-    core->m_configurationOutlet = std::make_unique<ConfigurationOutlet>(*core->m_surroundings, std::move(peers));
+    core->m_configurationDelegate = std::make_unique<ConfigurationDelegate>(*core->m_context, std::move(peers));
     configuration::FollowerOptions options;
     options.hasPlatform = m_followsPlatform;
-    options.isFed = m_isFed;
-    if (m_isFed) {
+    options.receivesManifests = m_receivesManifests;
+    if (m_receivesManifests) {
         options.fanout = internal::fedFanout;
         options.advertInterval = internal::fedAdvertInterval;
         options.bodyTimeout = internal::fedBodyTimeout;
     }
     options.endpoint = m_self.endpoint;
-    core->m_configuration = std::make_unique<configuration::Follower>(*core->m_configurationOutlet, m_random, options);
+    core->m_configuration = std::make_unique<configuration::Follower>(*core->m_configurationDelegate, m_random, options);
     core->m_gossipRandom = std::make_unique<SeededRandom>(m_random.next());
     if (m_followsPlatform) {
         core->m_contactBook =
             std::make_unique<membership::ContactBook>(membership::Contact{.id = m_self.id, .endpoint = m_self.endpoint}, *core->m_gossipRandom);
     }
-    core->m_gossip = std::make_unique<membership::Gossip>(core->m_surroundings->roster, *core->m_gossipRandom, m_metrics, std::move(m_contacts));
+    core->m_gossip = std::make_unique<membership::Gossip>(core->m_context->roster, *core->m_gossipRandom, m_metrics, std::move(m_contacts));
     return core;
 }
 
--- a/src/egretlatch/decision/entry_keys.cpp
+++ b/src/egretlatch/decision/entry_keys.cpp
@@ -1,4 +1,4 @@
-// The part of EntryHandler that deals with request keys: who owns one, and what became of it.
+// The part of EntryHandler that handles request keys: their owners and the state of their requests.
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
 constexpr int created = 201;
 constexpr int notFoundStatus = 404;
 
-// Two requests under one key are told apart by everything that the backend server gets to see of them.
+// Distinguishes two requests with one key by everything that the backend server receives of them.
 [[nodiscard]] static std::uint64_t hashOf(const CallerCall &call)
 {
     const std::uint64_t body = XXH3_64bits(call.body.constData(), static_cast<std::size_t>(call.body.size()));
@@ -37,8 +37,8 @@
     return answer;
 }
 
-// The key stays closed after not-run: an attempt that was sent before, and that is still under way somewhere, then never
-// starts. A resend is told from it by a key of its own.
+// The key stays closed after not-run, so that an earlier attempt still in flight never starts. A resend therefore needs a
+// key of its own.
 [[nodiscard]] static std::string nextKeyOf(const std::string &text, const int attemptsLeft)
 {
     std::optional<retry::RequestKey> key = retry::RequestKey::parse(text);
@@ -48,18 +48,18 @@
     return key.has_value() && attemptsLeft > 0 ? key->next().text() : std::string{};
 }
 
-[[nodiscard]] static std::string ruleOf(const retry::KeyStanding standing)
+[[nodiscard]] static std::string ruleOf(const retry::KeyState state)
 {
-    switch (standing) {
-    case retry::KeyStanding::answerDropped:
+    switch (state) {
+    case retry::KeyState::answerDropped:
         return "the request has completed; its answer is no longer held";
-    case retry::KeyStanding::closed:
+    case retry::KeyState::closed:
         return "an attempt with this key was refused as not run, which closed the key; resend with Egretlatch-Next-Key";
-    case retry::KeyStanding::uncertain:
+    case retry::KeyState::uncertain:
         return "an attempt with this key ended without proof that it did not run";
-    case retry::KeyStanding::forgotten:
+    case retry::KeyState::forgotten:
         return "the key is older than what is remembered of request keys";
-    case retry::KeyStanding::mismatched:
+    case retry::KeyState::mismatched:
         return "the key was sent with another request before";
     default:
         return "the key has been used";
@@ -73,16 +73,16 @@
     CallerAnswer answer;
     answer.service = requested.service;
     answer.kind = requested.kind;
-    if (m_surroundings.manifest == nullptr || m_surroundings.manifest->findKind(requested.service, requested.kind) == nullptr) {
+    if (m_context.manifest == nullptr || m_context.manifest->findKind(requested.service, requested.kind) == nullptr) {
         answer.status = internal::notFoundStatus;
-        answer.mistake = fmt::format("no service and kind {}/{} is declared", requested.service, requested.kind);
+        answer.requestError = fmt::format("no service and kind {}/{} is declared", requested.service, requested.kind);
     } else if (isDraining) {
-        // The key's owner would soon be gone, and its requests refused as may-have-run.
-        answer.refusal = m_surroundings.refuse(account::RefusalReason::draining, "a daemon that is leaving mints no keys");
+        // The owner of the key would soon be gone, and requests with the key refused as may-have-run.
+        answer.refusal = m_context.refuse(account::RefusalReason::draining, "a daemon that is leaving mints no keys");
         answer.status = account::httpStatus(answer.refusal->reason);
     } else {
-        const retry::KeyOwner self{.daemon = m_surroundings.self, .incarnation = m_surroundings.incarnation};
-        const retry::RequestKey key = retry::RequestKey::mint(self, ageOf(now), m_surroundings.random);
+        const retry::KeyOwner self{.daemon = m_context.self, .incarnation = m_context.incarnation};
+        const retry::RequestKey key = retry::RequestKey::mint(self, ageOf(now), m_context.random);
         answer.verdict = Verdict::completed;
         answer.status = internal::created;
         answer.headers.push_back({.name = "Content-Type", .value = "application/json"});
@@ -90,12 +90,12 @@
         document[u"key"] = QString::fromStdString(key.text());
         answer.body = QJsonDocument{document}.toJson(QJsonDocument::Compact);
     }
-    m_surroundings.actions.emplace_back(AnswerCaller{.exchange = requested.exchange, .answer = std::move(answer)});
+    m_context.actions.emplace_back(AnswerCaller{.exchange = requested.exchange, .answer = std::move(answer)});
 }
 
 std::chrono::milliseconds EntryHandler::ageOf(const SteadyTime now) const
 {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(now - m_surroundings.born);
+    return std::chrono::duration_cast<std::chrono::milliseconds>(now - m_context.startedAt);
 }
 
 std::string EntryHandler::innerScope(const InnerContext &inner, const CallerCall &call)
@@ -107,7 +107,7 @@
     if (!call.key.empty()) {
         return parent->derive(fmt::format("key\n{}\n{}\n{}", call.service, call.kind, call.key)).text();
     }
-    // Calls that are alike are told apart by their order, so a run that is made again repeats its keys as long as it makes
+    // Calls with equal content are distinguished by their order, so a repeated run derives the same keys as long as it makes
     // its calls in the same order, or with different content.
     const std::uint64_t content = internal::hashOf(call);
     const int ordinal = m_serving.nextOrdinal(inner.execution, content);
@@ -120,7 +120,7 @@
     if (key.has_value()) {
         return key;
     }
-    // A backend server's own key for an inner call need not name an owner: the root's owner stands for all of its calls.
+    // A backend server's own key for an inner call need not name an owner: the owner of the root's key owns all its calls.
     if (inner.has_value()) {
         return retry::RequestKey::parse(pending.scope);
     }
@@ -134,8 +134,8 @@
 void EntryHandler::findOwner(Pending pending, const std::optional<InnerContext> &inner, const SteadyTime now)
 {
     const std::optional<retry::RequestKey> key = keyOf(pending, inner);
-    if (!key.has_value() && m_surroundings.unownedKeys == retry::UnownedKeys::entryMemory) {
-        ownUnnamed(std::move(pending), now);
+    if (!key.has_value() && m_context.unownedKeys == retry::UnownedKeys::entryMemory) {
+        handleUnownedKey(std::move(pending), now);
         return;
     }
     pending.knowledge = retry::KeyKnowledge::none;
@@ -143,15 +143,15 @@
         const std::string rule = m_grants == nullptr
             ? "the key names no owner, and no platform is set to tell one; mint one by POST /keys/{service}/{kind}"
             : "the key names no owner and carries no time; use a version 7 UUID, or mint one by POST /keys/{service}/{kind}";
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
         return;
     }
     pending.call.key = key->text();
     if (!key->uuid().has_value()) {
         pending.scope = key->text();
     }
-    if (key->owner() == retry::KeyOwner{.daemon = m_surroundings.self, .incarnation = m_surroundings.incarnation}) {
-        own(std::move(pending), *key, now);
+    if (key->owner() == retry::KeyOwner{.daemon = m_context.self, .incarnation = m_context.incarnation}) {
+        handleOwnedKey(std::move(pending), *key, now);
         return;
     }
     forward(std::move(pending), key->owner(), now);
@@ -162,55 +162,57 @@
     return pending.isGranted ? m_grantedLedger : m_ledger;
 }
 
-void EntryHandler::ownUnnamed(Pending pending, const SteadyTime now)
+void EntryHandler::handleUnownedKey(Pending pending, const SteadyTime now)
 {
     const std::uint64_t request = internal::hashOf(pending.call);
     pending.knowledge = retry::KeyKnowledge::owner;
-    retry::KeyFinding finding = m_ledger.find(pending.call.key, ageOf(now), request);
-    if (finding.standing == retry::KeyStanding::closed && finding.attemptsLeft > 0) {
-        pending.attemptsLeft = std::min(pending.attemptsLeft, finding.attemptsLeft - 1);
+    retry::KeyLookup lookup = m_ledger.find(pending.call.key, ageOf(now), request);
+    if (lookup.state == retry::KeyState::closed && lookup.attemptsLeft > 0) {
+        pending.attemptsLeft = std::min(pending.attemptsLeft, lookup.attemptsLeft - 1);
         m_ledger.reopen(pending.call.key);
-        finding = {.standing = retry::KeyStanding::fresh};
+        lookup = {.state = retry::KeyState::fresh};
     }
-    // A key that carries no age counts as new when it is not known; that is what makes this rule unsafe in general.
-    if (finding.standing == retry::KeyStanding::fresh || finding.standing == retry::KeyStanding::forgotten) {
+    // An unknown key without an age counts as new, although it may have been forgotten; this makes the rule unsafe in general.
+    if (lookup.state == retry::KeyState::fresh || lookup.state == retry::KeyState::forgotten) {
         beginOwned(std::move(pending), ageOf(now), request, now);
         return;
     }
-    answerFinding(std::move(pending), finding, now);
+    answerFromLedger(std::move(pending), lookup, now);
 }
 
-void EntryHandler::own(Pending pending, const retry::RequestKey &key, const SteadyTime now)
+void EntryHandler::handleOwnedKey(Pending pending, const retry::RequestKey &key, const SteadyTime now)
 {
     const std::uint64_t request = internal::hashOf(pending.call);
     pending.knowledge = retry::KeyKnowledge::owner;
-    // The table grants a key by its time; what this life has given up it does not run, whatever other daemons still read.
+    // The platform's table grants keys by their timestamp. This incarnation does not run keys of grants it has given up, even
+    // if other daemons still read the old table.
     if (key.uuid().has_value() && !m_grants->owns(*key.uuid())) {
         pending.knowledge = retry::KeyKnowledge::none;
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyOwnerUnknown, "the key was not granted to this daemon"), now);
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, "the key was not granted to this daemon"), now);
         return;
     }
     if (!key.uuid().has_value() && key.age() > ageOf(now)) {
-        // Never minted here: entered, it would be the last to be forgotten and close all younger keys before its turn.
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyOwnerUnknown, "the key was not minted by its owner"), now);
+        // Not minted here: its age lies in the future. Recorded, it would be the last key to be forgotten, and forgetting it
+        // would close all keys minted up to that age.
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, "the key was not minted by its owner"), now);
         return;
     }
     pending.isGranted = key.uuid().has_value();
     retry::KeyLedger &ledger = ledgerOf(pending);
-    const retry::KeyFinding finding = ledger.find(key.text(), key.age(), request);
-    if (finding.standing != retry::KeyStanding::fresh) {
-        answerFinding(std::move(pending), finding, now);
+    const retry::KeyLookup lookup = ledger.find(key.text(), key.age(), request);
+    if (lookup.state != retry::KeyState::fresh) {
+        answerFromLedger(std::move(pending), lookup, now);
         return;
     }
     if (inheritAttempts(pending, key, request)) {
         beginOwned(std::move(pending), key.age(), request, now);
         return;
     }
-    // A key whose predecessor still runs is not closed by this refusal, so it might run later.
-    const bool isSpent = ledger.find(key.previous()->text(), key.age(), request).standing == retry::KeyStanding::closed;
-    pending.verdict = isSpent ? Verdict::notRun : Verdict::mayHaveRun;
+    // This refusal does not close a key whose predecessor is still running, so the request might run later.
+    const bool isPreviousClosed = ledger.find(key.previous()->text(), key.age(), request).state == retry::KeyState::closed;
+    pending.verdict = isPreviousClosed ? Verdict::notRun : Verdict::mayHaveRun;
     const std::string rule = "the resends of this request are used up, or the key before this one was not refused as not run";
-    finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::retryBudgetSpent, rule), now);
+    finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::retryBudgetSpent, rule), now);
 }
 
 bool EntryHandler::inheritAttempts(Pending &pending, const retry::RequestKey &key, const std::uint64_t request)
@@ -219,12 +221,12 @@
     if (!previous.has_value()) {
         return true;
     }
-    const retry::KeyFinding before = ledgerOf(pending).find(previous->text(), previous->age(), request);
-    if (before.standing != retry::KeyStanding::closed || before.attemptsLeft <= 0) {
+    const retry::KeyLookup previousLookup = ledgerOf(pending).find(previous->text(), previous->age(), request);
+    if (previousLookup.state != retry::KeyState::closed || previousLookup.attemptsLeft <= 0) {
         return false;
     }
-    // A resend by the caller is one more attempt of the same request, paid from what the last one left over.
-    pending.attemptsLeft = std::min(pending.attemptsLeft, before.attemptsLeft - 1);
+    // A resend by the caller is another attempt of the same request and uses the attempts that the last one left over.
+    pending.attemptsLeft = std::min(pending.attemptsLeft, previousLookup.attemptsLeft - 1);
     return true;
 }
 
@@ -235,37 +237,37 @@
     admit(std::move(pending), now);
 }
 
-void EntryHandler::answerFinding(Pending pending, const retry::KeyFinding &finding, const SteadyTime now)
+void EntryHandler::answerFromLedger(Pending pending, const retry::KeyLookup &lookup, const SteadyTime now)
 {
-    switch (finding.standing) {
-    case retry::KeyStanding::running:
+    switch (lookup.state) {
+    case retry::KeyState::running:
         join(std::move(pending));
         return;
-    case retry::KeyStanding::answered:
-        m_surroundings.metrics.count("key_replays", pending.call.service);
-        finish(std::move(pending), internal::replay(*finding.answer), now);
+    case retry::KeyState::answered:
+        m_context.metrics.count("key_replays", pending.call.service);
+        finish(std::move(pending), internal::replay(*lookup.answer), now);
         return;
-    case retry::KeyStanding::closed:
+    case retry::KeyState::closed:
         pending.verdict = Verdict::notRun;
-        pending.nextKey = internal::nextKeyOf(pending.call.key, finding.attemptsLeft);
+        pending.nextKey = internal::nextKeyOf(pending.call.key, lookup.attemptsLeft);
         break;
-    case retry::KeyStanding::mismatched:
-        pending.verdict = finding.verdict;
+    case retry::KeyState::mismatched:
+        pending.verdict = lookup.verdict;
         break;
     default:
         pending.verdict = Verdict::mayHaveRun;
         break;
     }
-    finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyAlreadyUsed, internal::ruleOf(finding.standing)), now);
+    finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyAlreadyUsed, internal::ruleOf(lookup.state)), now);
 }
 
 void EntryHandler::forward(Pending pending, const retry::KeyOwner &owner, const SteadyTime now)
 {
-    const membership::Member *const member = m_surroundings.roster.find(owner.daemon);
-    if (member == nullptr || member->incarnation != owner.incarnation || owner.daemon == m_surroundings.self) {
-        // The life that owns the key is the only one that knows what became of it, and the only one that may run it.
+    const membership::Member *const member = m_context.roster.find(owner.daemon);
+    if (member == nullptr || member->incarnation != owner.incarnation || owner.daemon == m_context.self) {
+        // Only the incarnation that owns the key knows the state of its request, and only it may run the request.
         const std::string rule = "the daemon that owns the key has gone, or is not known here";
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
         return;
     }
     pending.phase = Phase::forwarded;
@@ -278,8 +280,8 @@
     request.receiver = owner.incarnation;
     request.forOwner = true;
     const SteadyTime deadline = pending.deadline;
-    keep(request.call, std::move(pending), deadline);
-    m_surroundings.actions.emplace_back(SendToPeer{.to = owner.daemon, .endpoint = member->endpoint, .message = std::move(request)});
+    addPending(request.call, std::move(pending), deadline);
+    m_context.actions.emplace_back(SendToPeer{.to = owner.daemon, .endpoint = member->endpoint, .message = std::move(request)});
 }
 
 void EntryHandler::handleForwarded(const DaemonId &from, const Incarnation incarnation, const protocol::CallRequest &request, const SteadyTime now)
@@ -299,7 +301,7 @@
     pending.rootCosts = request.rootCosts;
     pending.depth = request.depth;
     pending.scope = request.scope;
-    pending.trace = account::childOf(request.trace, m_surroundings.random);
+    pending.trace = account::childOf(request.trace, m_context.random);
     pending.parentSpanId = request.trace.spanId;
     pending.arrived = now;
     pending.deadline = now + request.remaining;
@@ -308,15 +310,15 @@
     if (!key.has_value() && m_grants != nullptr) {
         key = retry::RequestKey::parseUuid(request.key);
     }
-    const retry::KeyOwner self{.daemon = m_surroundings.self, .incarnation = m_surroundings.incarnation};
-    const bool isKnown = m_surroundings.manifest != nullptr && m_surroundings.manifest->findKind(request.service, request.kind) != nullptr;
-    // The receiver and the owner named by the key are both checked: either alone could be an earlier life of this daemon.
-    if (request.receiver != m_surroundings.incarnation || !key.has_value() || (!key->uuid().has_value() && key->owner() != self) || !isKnown) {
+    const retry::KeyOwner self{.daemon = m_context.self, .incarnation = m_context.incarnation};
+    const bool isKnown = m_context.manifest != nullptr && m_context.manifest->findKind(request.service, request.kind) != nullptr;
+    // Both the receiver and the owner named by the key are checked: either could be a previous incarnation of this daemon.
+    if (request.receiver != m_context.incarnation || !key.has_value() || (!key->uuid().has_value() && key->owner() != self) || !isKnown) {
         const std::string rule = "the request was meant for an earlier life of this daemon, or for a kind not declared here";
-        finishRefused(std::move(pending), m_surroundings.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
+        finishRefused(std::move(pending), m_context.refuse(account::RefusalReason::keyOwnerUnknown, rule), now);
         return;
     }
-    own(std::move(pending), *key, now);
+    handleOwnedKey(std::move(pending), *key, now);
 }
 
 void EntryHandler::handleOwnerAnswer(Pending pending, const protocol::CallAnswer &answer, const SteadyTime now)
@@ -325,11 +327,11 @@
         finish(std::move(pending), internal::replay({.status = answer.status, .headers = answer.headers, .body = answer.body}), now);
         return;
     }
-    // The owner speaks of the key, not of an attempt, so its verdict is passed on as it is.
+    // The owner's verdict covers the key rather than one attempt, so it is passed on unchanged.
     pending.knowledge = retry::KeyKnowledge::owner;
     pending.verdict = answer.verdict;
     pending.nextKey = answer.nextKey;
-    finishRefused(std::move(pending), answer.refusal.value_or(m_surroundings.refuse(account::RefusalReason::serverLost, "no answer and no reason")), now);
+    finishRefused(std::move(pending), answer.refusal.value_or(m_context.refuse(account::RefusalReason::serverLost, "no answer and no reason")), now);
 }
 
 void EntryHandler::tickGrants(const SteadyTime now)
@@ -339,19 +341,19 @@
         return;
     }
     m_lastGrants = now;
-    m_preferredShards.update(m_surroundings.roster);
-    std::vector<store::Request> requests = m_grants->tick(m_surroundings.clock.wallNow(), now, [this](const int shard) {
+    m_preferredShards.update(m_context.roster);
+    std::vector<store::Request> requests = m_grants->tick(m_context.clock.wallNow(), now, [this](const int shard) {
         return m_preferredShards.contains(shard);
     });
     for (store::Request &request : requests) {
-        const store::RequestId id = m_surroundings.askPlatform(request);
-        m_grants->noteAsked(id, request);
+        const store::RequestId id = m_context.sendToPlatform(request);
+        m_grants->noteRequestSent(id, request);
     }
 }
 
 bool EntryHandler::handlePlatform(const PlatformAnswered &answered, const SteadyTime now)
 {
-    return m_grants != nullptr && m_grants->take(answered.id, answered.outcome, now);
+    return m_grants != nullptr && m_grants->handleOutcome(answered.id, answered.outcome, now);
 }
 
 void EntryHandler::join(Pending pending)
@@ -360,7 +362,7 @@
     const CallId call{++m_lastCall};
     m_joined[pending.call.key].push_back(call);
     const SteadyTime deadline = pending.deadline;
-    keep(call, std::move(pending), deadline);
+    addPending(call, std::move(pending), deadline);
 }
 
 void EntryHandler::releaseKey(const Pending &pending, CallerAnswer &answer)
@@ -383,7 +385,7 @@
     for (const CallId call : calls) {
         const auto pending = m_pending.find(call);
         if (pending != m_pending.end()) {
-            finish(take(pending), answer, now);
+            finish(removePending(pending), answer, now);
         }
     }
 }
--- a/src/egretlatch/http/client_connection.hpp
+++ b/src/egretlatch/http/client_connection.hpp
@@ -11,24 +11,24 @@
 namespace egretlatch::http
 {
 
-/*! @brief Why a request has no answer. */
+/*! @brief Reason why a request has no answer. */
 enum class Failure {
-    /*! @brief No connection opened; nothing of the request has left. */
-    neverConnected,
-    /*! @brief The connection ended or broke the protocol before the whole answer came; the request may have run. */
+    /*! @brief No connection was established; nothing of the request was sent. */
+    notConnected,
+    /*! @brief The connection ended or violated the protocol before the answer was complete; the request may have run. */
     lost,
-    /*! @brief No whole answer came in the time given; the request may be running. */
+    /*! @brief The answer was not complete by the deadline; the request may be running. */
     timedOut,
 };
 
 using Outcome = std::variant<Response, Failure>;
 
-/*! @brief A request that is to be sent. */
-struct Outgoing
+/*! @brief Request to be sent. */
+struct OutgoingRequest
 {
     QByteArray bytes;
-    /*! @brief Tells an answer to this request from one to an earlier request that came late. */
-    std::function<bool(const Response &)> isOwn;
+    /*! @brief Checks whether an answer belongs to this request rather than being a late answer to an earlier one. */
+    std::function<bool(const Response &)> isMatchingResponse;
     /*! @brief Called exactly once, unless the request is cancelled. */
     std::function<void(Outcome)> onResult;
     SteadyTime deadline;
@@ -36,19 +36,19 @@
 
 class ClientConnection;
 
-/*! @brief Told when a connection is free for the next request, or over. */
+/*! @brief Notified when a connection becomes idle, and so is ready for the next request, or is closed. */
 class ClientConnectionListener
 {
 public:
     virtual ~ClientConnectionListener() = default;
 
-    virtual void onFree(ClientConnection &connection) = 0;
+    virtual void onIdle(ClientConnection &connection) = 0;
 
-    /*! @brief It may be destroyed once the call stack has unwound. */
+    /*! @brief Called when the connection is closed; it may be destroyed once the call stack has unwound. */
     virtual void onClosed(ClientConnection &connection) = 0;
 };
 
-/*! @brief A connection to a server: one request at a time. */
+/*! @brief Connection to a server that carries one request at a time. */
 class ClientConnection final : private net::StreamListener
 {
 public:
@@ -56,32 +56,32 @@
 
     /**
      * @brief Opens the connection and sends the first request.
-     * @param endpoint Where to.
+     * @param endpoint Remote endpoint.
      * @param outgoing The request.
      */
-    void open(const net::Endpoint &endpoint, Outgoing outgoing);
+    void open(const net::Endpoint &endpoint, OutgoingRequest outgoing);
 
     /**
-     * @brief Sends a request on a free connection.
+     * @brief Sends a request on an idle connection.
      * @param outgoing The request.
      */
-    void send(Outgoing outgoing);
+    void send(OutgoingRequest outgoing);
 
-    /*! @brief Forgets the request that is under way and closes; no result follows. */
+    /*! @brief Drops the request in progress and closes the connection; no result follows. */
     void cancel();
 
-    /*! @brief Ends what takes too long; to be called now and then. */
-    void checkTimes();
+    /*! @brief Enforces the timeouts; call it periodically. */
+    void checkTimeouts();
 
-    [[nodiscard]] bool isFree() const noexcept
+    [[nodiscard]] bool isIdle() const noexcept
     {
-        return !m_isBusy && !m_isOver;
+        return !m_isBusy && !m_isClosed;
     }
 
-    /*! @brief Time up to which the server keeps it open without a request, as far as known. */
-    [[nodiscard]] SteadyTime freeUntil() const noexcept
+    /*! @brief Returns the time until which the server is expected to keep the idle connection open. */
+    [[nodiscard]] SteadyTime idleUntil() const noexcept
     {
-        return m_freeUntil;
+        return m_idleUntil;
     }
 
     void close();
@@ -90,23 +90,23 @@
     void onOpen() override;
     void onBytes(const QByteArray &bytes) override;
     void onEnd(net::StreamEnd end) override;
-    void takeAnswers();
-    void takeAnswer(Response response);
+    void handleAnswers();
+    void handleAnswer(Response response);
     void fail(Failure failure);
-    void over();
+    void shutDown();
 
     ClientConnectionListener &m_listener;
     const Clock &m_clock;
     ResponseReader m_reader;
     net::TcpStream m_stream;
-    Outgoing m_outgoing;
+    OutgoingRequest m_outgoing;
     bool m_isBusy{};
     bool m_isOpen{};
-    bool m_isOver{};
-    /*! @brief An answer that belongs to no request came, so another one may. */
-    bool m_isSpoiled{};
+    bool m_isClosed{};
+    /*! @brief An answer to another request was received, so more may follow and the connection is not reused. */
+    bool m_hasForeignAnswer{};
     SteadyTime m_openedAt;
-    SteadyTime m_freeUntil;
+    SteadyTime m_idleUntil;
 };
 
 } // namespace egretlatch::http
--- a/src/egretlatch/membership/roster.cpp
+++ b/src/egretlatch/membership/roster.cpp
@@ -13,7 +13,7 @@
 namespace internal
 {
 
-// A suspect needs time to hear of the doubt and to refute it, and the spread of both grows with the logarithm of the fleet.
+// A suspect needs time to receive the suspicion and to refute it; the time to disseminate either grows with log(fleet size).
 constexpr std::chrono::seconds suspicionUnit{4};
 constexpr std::chrono::hours forgetAfter{6};
 
@@ -22,7 +22,7 @@
     return std::tie(member.incarnation, member.revision);
 }
 
-[[nodiscard]] static bool isDoubted(const MemberState state)
+[[nodiscard]] static bool isSuspectOrGone(const MemberState state)
 {
     return state == MemberState::suspect || state == MemberState::gone;
 }
@@ -41,7 +41,7 @@
 {
 }
 
-MergeOutcome Roster::merge(const Member &member, const NewsSource source, const SteadyTime now)
+MergeOutcome Roster::merge(const Member &member, const UpdateSource source, const SteadyTime now)
 {
     if (member.id == m_self.id) {
         return mergeSelf(member);
@@ -56,26 +56,26 @@
         return replace(entry, member, now);
     }
     if (internal::rankOf(member) < internal::rankOf(entry.announced)) {
-        return MergeOutcome::known;
+        return MergeOutcome::unchanged;
     }
     const bool hasLaterBeat = member.beat > entry.announced.beat;
     entry.announced.beat = std::max(entry.announced.beat, member.beat);
-    const bool isAged = entry.shown.state == MemberState::gone && entry.announced.state != MemberState::gone;
-    const bool isDoubted = isAged || entry.shown.state == MemberState::suspect;
-    // Two regions that were cut off hold each other for gone at the revision that is still in force, and a verdict
-    // overrules an entry of its own revision. Without a way back each member would have to be told and to refute. The
-    // member's own word is such a way, and so is a beat from after the verdict: a daemon that is dead makes none.
-    if ((source == NewsSource::member && isDoubted) || (isAged && hasLaterBeat)) {
+    const bool isTimedOut = entry.shown.state == MemberState::gone && entry.announced.state != MemberState::gone;
+    const bool isSuspectOrGone = isTimedOut || entry.shown.state == MemberState::suspect;
+    // After a partition, two regions list each other's members as gone at their current revisions, and a suspicion overrides
+    // an entry of its own revision. So that not every member has to receive and refute a suspicion, two things restore an
+    // entry of the same revision: a message from the member itself, or a later heartbeat, which a dead daemon cannot send.
+    if ((source == UpdateSource::member && isSuspectOrGone) || (isTimedOut && hasLaterBeat)) {
         return replace(entry, member, now);
     }
-    return MergeOutcome::known;
+    return MergeOutcome::unchanged;
 }
 
 MergeOutcome Roster::suspect(const Suspicion &suspicion, const SteadyTime now)
 {
     if (suspicion.id == m_self.id) {
         if (suspicion.incarnation != m_self.incarnation || suspicion.revision < m_self.revision) {
-            return MergeOutcome::known;
+            return MergeOutcome::unchanged;
         }
         m_self.revision = suspicion.revision + 1;
         ++m_version;
@@ -83,12 +83,12 @@
     }
     const auto found = m_others.find(suspicion.id);
     if (found == m_others.end()) {
-        return MergeOutcome::known;
+        return MergeOutcome::unchanged;
     }
     Entry &entry = found->second;
-    const bool isAboutThePast = std::tie(suspicion.incarnation, suspicion.revision) < internal::rankOf(entry.announced);
-    if (isAboutThePast || internal::isDoubted(entry.shown.state)) {
-        return MergeOutcome::known;
+    const bool isOutdated = std::tie(suspicion.incarnation, suspicion.revision) < internal::rankOf(entry.announced);
+    if (isOutdated || internal::isSuspectOrGone(entry.shown.state)) {
+        return MergeOutcome::unchanged;
     }
     entry.shown.state = MemberState::suspect;
     entry.since = now;
@@ -98,27 +98,27 @@
 
 MergeOutcome Roster::mergeSelf(const Member &member)
 {
-    if (isOutrankedByEarlierLife(member)) {
+    if (isOutrankedByEarlierIncarnation(member)) {
         m_self.incarnation = Incarnation{member.incarnation.value + 1};
         noteChanged(m_self.id);
         return MergeOutcome::refuted;
     }
-    // A higher incarnation is the next life of this daemon on another VM: the older life must not overrule it.
-    const bool isOfThisLife = member.incarnation == m_self.incarnation;
+    // A higher incarnation is this daemon's replacement on another VM, which the older incarnation must not override.
+    const bool isSameIncarnation = member.incarnation == m_self.incarnation;
     const bool isOverruled = member.revision > m_self.revision;
-    if (!isOfThisLife || !isOverruled) {
-        return MergeOutcome::known;
+    if (!isSameIncarnation || !isOverruled) {
+        return MergeOutcome::unchanged;
     }
     m_self.revision = member.revision + 1;
     ++m_version;
     return MergeOutcome::refuted;
 }
 
-// Incarnations come from the time of day. Where that was set back, a life begins with a lower one than the life before it at
-// this very address, and without a raise nobody would take its word.
-bool Roster::isOutrankedByEarlierLife(const Member &member) const
+// Incarnations are taken from the wall clock. If the clock was set back, a restarted daemon gets a lower incarnation than its
+// predecessor at the same address, and without a raise its entries would be ignored everywhere.
+bool Roster::isOutrankedByEarlierIncarnation(const Member &member) const
 {
-    return m_mayRaise && member.endpoint == m_self.endpoint && member.incarnation > m_self.incarnation;
+    return m_mayRaiseIncarnation && member.endpoint == m_self.endpoint && member.incarnation > m_self.incarnation;
 }
 
 MergeOutcome Roster::replace(Entry &entry, const Member &member, const SteadyTime now)
@@ -185,8 +185,8 @@
         return nullptr;
     }
     const Entry &entry = found->second;
-    const bool isTold = !internal::isDoubted(entry.shown.state) || entry.announced.state == MemberState::gone;
-    return isTold ? &entry.announced : nullptr;
+    const bool isAnnounced = !internal::isSuspectOrGone(entry.shown.state) || entry.announced.state == MemberState::gone;
+    return isAnnounced ? &entry.announced : nullptr;
 }
 
 std::vector<Member> Roster::members() const
@@ -201,7 +201,7 @@
 
 const std::vector<DaemonId> &Roster::participants() const
 {
-    // Asked for many times a second and changed seldom.
+    // Cached: read many times a second, and rarely changes.
     if (m_participantsVersion != m_version) {
         m_participantsVersion = m_version;
         m_participants.clear();
@@ -246,7 +246,7 @@
 {
     std::uint64_t sum = internal::digestOf(m_self);
     for (const auto &[id, entry] : m_others) {
-        // What is not told in a pull must not count, or two rosters would never agree.
+        // Entries that a pull does not return are left out, or the digests of two rosters would never match.
         if (findAnnounced(id) != nullptr && entry.announced.state != MemberState::gone) {
             sum += internal::digestOf(entry.announced);
         }
--- a/src/egretlatch/net/tcp_acceptor.cpp
+++ b/src/egretlatch/net/tcp_acceptor.cpp
@@ -18,15 +18,16 @@
 namespace internal
 {
 
-// Connections that wait to be accepted. A full queue drops the opening packet, which comes again after seconds.
+// Length of the accept queue. A full queue drops the SYN, which is retransmitted only after seconds.
 constexpr int backlog = 1024;
-// Accepted in one go, so that a flood of connections leaves the others their turn.
+// Connections accepted per event at most, so that a flood of new connections does not starve the open ones.
 constexpr int acceptBatch = 32;
-// Connections that come this close together are taken several at a time. Else one is, since looking for a second that is not
-// there costs a system call for each connection.
-constexpr std::chrono::milliseconds crowded{1};
-// A caller that reads slowly holds its window shut, which counts as unacknowledged too, so it has longer than other sides.
-constexpr std::chrono::seconds unacknowledgedByCaller{15};
+// Connections that arrive within this interval are accepted in batches. Otherwise one is accepted per event, since an
+// accept that finds no second connection costs an extra system call for each connection.
+constexpr std::chrono::milliseconds burstInterval{1};
+// A caller that reads slowly keeps its receive window closed, which also counts towards the limit, so callers have longer
+// than other peers.
+constexpr std::chrono::seconds callerUnacknowledgedLimit{15};
 
 } // namespace internal
 
@@ -47,7 +48,7 @@
     m_descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     const int on = 1;
     setsockopt(m_descriptor, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    setTcpOptions(m_descriptor, internal::unacknowledgedByCaller);
+    setTcpOptions(m_descriptor, internal::callerUnacknowledgedLimit);
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(endpoint.port);
@@ -77,9 +78,9 @@
 void TcpAcceptor::acceptAvailable()
 {
     const SteadyTime now = m_clock.steadyNow();
-    const int most = now - m_lastAccept < internal::crowded ? internal::acceptBatch : 1;
+    const int maxAccepts = now - m_lastAccept < internal::burstInterval ? internal::acceptBatch : 1;
     m_lastAccept = now;
-    for (int count = 0; count < most && m_descriptor >= 0; ++count) {
+    for (int count = 0; count < maxAccepts && m_descriptor >= 0; ++count) {
         const int accepted = ::accept4(m_descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (accepted < 0) {
             return;
--- a/src/egretlatch/platform/bounds.cpp
+++ b/src/egretlatch/platform/bounds.cpp
@@ -12,7 +12,7 @@
 namespace internal
 {
 
-[[nodiscard]] static std::optional<double> numberOf(const std::string_view text)
+[[nodiscard]] static std::optional<double> parseNumber(const std::string_view text)
 {
     double number = 0.0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -21,10 +21,10 @@
 
 } // namespace internal
 
-settings::FleetBounds readBounds(const std::vector<std::string> &texts)
+settings::FleetBounds readBounds(const std::vector<std::string> &entries)
 {
     settings::FleetBounds bounds;
-    for (const std::string &text : texts) {
+    for (const std::string &text : entries) {
         const std::size_t equals = text.find('=');
         if (equals == std::string::npos) {
             continue;
@@ -36,9 +36,9 @@
         } else if (name == "drain") {
             bounds.drain = parseDuration(value).value_or(bounds.drain);
         } else if (name == "retry_budget_ratio") {
-            bounds.retryRatio = internal::numberOf(value).value_or(bounds.retryRatio);
+            bounds.retryRatio = internal::parseNumber(value).value_or(bounds.retryRatio);
         } else if (name == "budget_slack") {
-            bounds.retrySlack = internal::numberOf(value).value_or(bounds.retrySlack);
+            bounds.retrySlack = internal::parseNumber(value).value_or(bounds.retrySlack);
         }
     }
     return bounds;
--- a/src/egretlatch/platform/caller_wire.cpp
+++ b/src/egretlatch/platform/caller_wire.cpp
@@ -18,7 +18,7 @@
 constexpr int gatewayTimeout = 504;
 constexpr int tooManyRequests = 429;
 constexpr double millisecondsInSecond = 1000.0;
-// Inner calls have been seen to be named after the request that makes them, with a dot and so many hexadecimal digits.
+// Observed names of inner calls consist of the name of the calling request, a dot and this many hexadecimal digits.
 constexpr std::size_t innerSuffixDigits = 16;
 
 [[nodiscard]] static std::string parentOf(const std::string &name)
@@ -70,7 +70,7 @@
         caller.name = *name;
         caller.parentName = internal::parentOf(*name);
     }
-    caller.patience = internal::millisecondsOf(http::findHeader(request.headers, deadlineHeader));
+    caller.timeout = internal::millisecondsOf(http::findHeader(request.headers, deadlineHeader));
     return caller;
 }
 
@@ -91,7 +91,7 @@
     response.status = internal::statusOf(answer);
     response.headers = answer.headers;
     response.body = answer.body;
-    const bool isOwn = answer.refusal.has_value() || !answer.mistake.empty();
+    const bool isOwn = answer.refusal.has_value() || !answer.requestError.empty();
     if (isOwn && !requestName.empty()) {
         response.headers.push_back({.name = requestIdHeader, .value = requestName});
     }
--- a/src/egretlatch/platform/duration_text.cpp
+++ b/src/egretlatch/platform/duration_text.cpp
@@ -10,8 +10,8 @@
 {
 
 constexpr double millisecondsInSecond = 1000.0;
-// A day; longer spans are a mistake.
-constexpr double longestMilliseconds = 86'400'000.0;
+// One day; longer durations are rejected as errors.
+constexpr double maxMilliseconds = 86'400'000.0;
 
 } // namespace internal
 
@@ -28,7 +28,7 @@
         return std::nullopt;
     }
     const double milliseconds = unit == "s" ? number * internal::millisecondsInSecond : number;
-    if (!(milliseconds >= 0.0) || milliseconds > internal::longestMilliseconds) {
+    if (!(milliseconds >= 0.0) || milliseconds > internal::maxMilliseconds) {
         return std::nullopt;
     }
     return std::chrono::milliseconds{std::llround(milliseconds)};
--- a/src/egretlatch/platform/store_wire.cpp
+++ b/src/egretlatch/platform/store_wire.cpp
@@ -31,7 +31,7 @@
     return QUrl::toPercentEncoding(toQt(text)).toStdString();
 }
 
-[[nodiscard]] static QJsonObject placeOf(const std::string &key)
+[[nodiscard]] static QJsonObject rowAddress(const std::string &key)
 {
     return {{QLatin1String{"table"}, QLatin1String{ownTable}}, {QLatin1String{"part"}, QLatin1String{""}}, {QLatin1String{"key"}, toQt(key)}};
 }
@@ -46,13 +46,13 @@
 
 [[nodiscard]] static http::Request write(const store::TableRead &read)
 {
-    // There is no call for one row; a page of one row that begins with its key is it, or shows that it is missing.
+    // The store has no call for a single row. A page of one row from this key on holds the row or shows that it is missing.
     return get(fmt::format("/api/rows-get?table={}&part=&from={}&limit=1", ownTable, percentEncoded(read.key)));
 }
 
 [[nodiscard]] static http::Request write(const store::TableScan &scan)
 {
-    // The range begins with its first key; the one after `after` is that text with the lowest letter added.
+    // The range includes its first key. The next key after `after` is that text with the lowest character appended.
     const std::string from = scan.after.empty() ? scan.prefix : scan.after + ' ';
     return get(fmt::format("/api/rows-get?table={}&part=&from={}&limit={}", ownTable, percentEncoded(from), scan.limit));
 }
@@ -61,14 +61,14 @@
 {
     QJsonArray conditions;
     for (const store::RowCondition &condition : change.conditions) {
-        QJsonObject row = placeOf(condition.key);
+        QJsonObject row = rowAddress(condition.key);
         row.insert(QLatin1String{"ver"}, static_cast<qint64>(condition.version));
         conditions.append(row);
     }
     QJsonArray writes;
     QJsonArray removals;
     for (const store::RowWrite &row : change.writes) {
-        QJsonObject entry = placeOf(row.key);
+        QJsonObject entry = rowAddress(row.key);
         if (!row.value.has_value()) {
             removals.append(entry);
             continue;
@@ -85,7 +85,7 @@
     return request;
 }
 
-[[nodiscard]] static Error refusalOf(const int status)
+[[nodiscard]] static Error errorForStatus(const int status)
 {
     switch (status) {
     case gone:
@@ -93,7 +93,7 @@
     case preconditionFailed:
         return {ErrorCode::conflict, "a condition did not hold"};
     case tooManyRequests:
-        return {ErrorCode::rateLimited, "the store takes no more calls now"};
+        return {ErrorCode::rateLimited, "the store limits the rate of calls"};
     case serviceUnavailable:
         return {ErrorCode::unavailable, "the store is not available"};
     default:
@@ -139,14 +139,14 @@
 store::Outcome readStoreAnswer(const store::Request &request, const http::Response &answer)
 {
     if (answer.status != internal::ok) {
-        return tl::unexpected{internal::refusalOf(answer.status)};
+        return tl::unexpected{internal::errorForStatus(answer.status)};
     }
     if (std::holds_alternative<store::TableWrite>(request)) {
         return store::WrittenReply{};
     }
     const QJsonDocument document = QJsonDocument::fromJson(answer.body);
     if (!document.isObject()) {
-        return tl::unexpected{Error{ErrorCode::malformed, "the store's answer is no JSON object"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "the store's answer is not a JSON object"}};
     }
     return store::RowsReply{.rows = internal::rowsOf(document.object(), request)};
 }
@@ -156,7 +156,7 @@
     return internal::get(fmt::format("/api/rows-get?table={}&part=", operatorTable));
 }
 
-http::Request writeConfigurationWait(const std::uint64_t position, const std::chrono::milliseconds wait)
+http::Request writeConfigurationLongPoll(const std::uint64_t position, const std::chrono::milliseconds wait)
 {
     return internal::get(fmt::format("/api/rows-feed?table={}&after={}&wait_ms={}", operatorTable, position, wait.count()));
 }
@@ -164,12 +164,12 @@
 Result<ConfigurationPage> readConfigurationPage(const http::Response &answer)
 {
     if (answer.status != internal::ok) {
-        return tl::unexpected{internal::refusalOf(answer.status)};
+        return tl::unexpected{internal::errorForStatus(answer.status)};
     }
     const QJsonDocument document = QJsonDocument::fromJson(answer.body);
     const QJsonValue position = document.object()[QLatin1String{"ver"}];
     if (!document.isObject() || !position.isDouble()) {
-        return tl::unexpected{Error{ErrorCode::malformed, "a page of the store without a version"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "the store's page has no version"}};
     }
     ConfigurationPage page;
     page.position = static_cast<std::uint64_t>(position.toInteger());
--- a/src/egretlatch/protocol/call_codec.cpp
+++ b/src/egretlatch/protocol/call_codec.cpp
@@ -1,4 +1,4 @@
-// The part of the codec that puts calls and their answers into messages and back.
+// Conversion of calls and their answers between C++ and protobuf messages.
 
 #include <egretlatch/protocol/codec_parts.hpp>
 
@@ -30,7 +30,7 @@
     wire.mutable_rank()->set_priority(request.rank.priority);
     wire.mutable_rank()->set_worth(request.rank.worth);
     wire.mutable_rank()->set_invested_ns(request.rank.invested.count());
-    for (const admission::RootCosts::Stop &stop : request.rootCosts.stops()) {
+    for (const admission::RootCosts::ServiceCost &stop : request.rootCosts.costs()) {
         wire::RootCost &added = *wire.add_root_costs();
         added.set_service_hash(stop.service);
         added.set_held_us(static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::microseconds>(stop.held).count()));
@@ -45,22 +45,22 @@
 
 [[nodiscard]] static admission::RootCosts readRootCosts(const wire::CallRequest &wire)
 {
-    std::vector<admission::RootCosts::Stop> stops;
-    stops.reserve(static_cast<std::size_t>(wire.root_costs_size()));
+    std::vector<admission::RootCosts::ServiceCost> costs;
+    costs.reserve(static_cast<std::size_t>(wire.root_costs_size()));
     for (const wire::RootCost &cost : wire.root_costs()) {
-        stops.push_back({.service = cost.service_hash(), .held = std::chrono::microseconds{cost.held_us()}});
+        costs.push_back({.service = cost.service_hash(), .held = std::chrono::microseconds{cost.held_us()}});
     }
-    return admission::RootCosts{std::move(stops)};
+    return admission::RootCosts{std::move(costs)};
 }
 
 Result<Message> read(const wire::CallRequest &wire)
 {
     const auto root = Uuid::fromBytes(wire.root());
     if (!root.has_value()) {
-        return tl::unexpected{Error{ErrorCode::malformed, "a call without a root"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "call request without a valid root id"}};
     }
     if (wire.attempts_lent() < 0 || wire.depth() < 0 || !std::isfinite(wire.rank().worth())) {
-        return tl::unexpected{Error{ErrorCode::malformed, "a call with a number out of range"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "call request with a negative attempts_lent or depth, or with a worth that is not finite"}};
     }
     CallRequest request;
     request.call = {wire.call()};
@@ -70,7 +70,7 @@
     request.method = wire.method();
     request.path = wire.path();
     request.headers = readHeaders(wire);
-    request.body = toBody(wire.body());
+    request.body = toByteArray(wire.body());
     request.key = wire.key();
     request.requestName = wire.request_name();
     request.remaining = toDuration(wire.remaining_ns());
@@ -105,7 +105,7 @@
     const auto id = Uuid::fromBytes(wire.id());
     const auto reason = account::refusalReasonFromString(wire.reason());
     if (!id.has_value() || !reason.has_value()) {
-        return tl::unexpected{Error{ErrorCode::malformed, "a refusal without an id or a known reason"}};
+        return tl::unexpected{Error{ErrorCode::malformed, "refusal without a valid id or with an unknown reason"}};
     }
     account::Refusal refusal;
     refusal.id = *id;
@@ -166,7 +166,7 @@
     return wire::VERDICT_MAY_HAVE_RUN;
 }
 
-// A verdict that this version does not know is read as the one that promises nothing.
+// Reads an unknown verdict as the weakest one, may-have-run, which guarantees nothing.
 [[nodiscard]] static Verdict fromWire(const wire::Verdict verdict)
 {
     if (verdict == wire::VERDICT_COMPLETED) {
@@ -175,18 +175,18 @@
     return verdict == wire::VERDICT_NOT_RUN ? Verdict::notRun : Verdict::mayHaveRun;
 }
 
-void write(const admission::KindPace &pace, wire::Pace &wire)
+void write(const admission::KindPerformance &performance, wire::Pace &wire)
 {
-    wire.set_kind(pace.kind);
-    wire.set_own_ns(pace.own.count());
-    wire.set_failing(pace.failing);
+    wire.set_kind(performance.kind);
+    wire.set_own_ns(performance.ownTime.count());
+    wire.set_failing(performance.failureShare);
 }
 
-admission::KindPace read(const wire::Pace &wire)
+admission::KindPerformance read(const wire::Pace &wire)
 {
-    // What lies outside the bounds, or is no number, is taken as the nearest bound.
-    const double failing = wire.failing() > 0.0 ? std::min(wire.failing(), 1.0) : 0.0;
-    return {.kind = wire.kind(), .own = std::max(Duration{wire.own_ns()}, Duration{}), .failing = failing};
+    // Clamps values to their bounds; a NaN becomes the lower bound.
+    const double failureShare = wire.failing() > 0.0 ? std::min(wire.failing(), 1.0) : 0.0;
+    return {.kind = wire.kind(), .ownTime = std::max(Duration{wire.own_ns()}, Duration{}), .failureShare = failureShare};
 }
 
 void write(const CallAnswer &answer, wire::CallAnswer &wire)
@@ -206,8 +206,8 @@
     wire.set_next_key(answer.nextKey);
     wire.set_has_reached_server(answer.hasReachedServer);
     wire.set_has_failed_below(answer.hasFailedBelow);
-    if (answer.pace.has_value()) {
-        write(*answer.pace, *wire.mutable_pace());
+    if (answer.performance.has_value()) {
+        write(*answer.performance, *wire.mutable_pace());
     }
     for (const auto &[service, slotTime] : answer.chain) {
         wire::ChainStop &added = *wire.add_chain();
@@ -230,7 +230,7 @@
     answer.verdict = fromWire(wire.verdict());
     answer.status = wire.status();
     answer.headers = readHeaders(wire);
-    answer.body = toBody(wire.body());
+    answer.body = toByteArray(wire.body());
     if (wire.has_refusal()) {
         Result<account::Refusal> refusal = read(wire.refusal());
         if (!refusal.has_value()) {
@@ -245,7 +245,7 @@
     answer.hasReachedServer = wire.has_reached_server();
     answer.hasFailedBelow = wire.has_failed_below();
     if (wire.has_pace()) {
-        answer.pace = read(wire.pace());
+        answer.performance = read(wire.pace());
     }
     for (const wire::ChainStop &stop : wire.chain()) {
         answer.chain[stop.service()] = toDuration(stop.slot_time_ns());
--- a/src/egretlatch/routing/adaptive_router.cpp
+++ b/src/egretlatch/routing/adaptive_router.cpp
@@ -12,23 +12,23 @@
 {
 
 constexpr std::size_t subsetSize = 16;
-// A further server must be expected to answer within this part of the nearer one's time to be worth the way, and the way
-// counts as so much more time, for itself and for each kilobyte that crosses: servers of one service differ in speed, and the
-// only one near may be slow.
-constexpr double worthTheWay = 0.75;
-constexpr std::chrono::milliseconds wayTime{20};
-constexpr std::chrono::duration<double, std::milli> wayTimePerByte{0.001};
-// Nothing is expected to be faster than this part of the usual time, whatever was told.
-constexpr double fastestShare = 0.2;
-// A server that fails one call in four counts as four times as slow: what fails is made again, or fails the whole chain above
-// it.
-constexpr double failingWeight = 12.0;
+// A server in another data centre is chosen only if its expected latency, plus a penalty of 20 ms and 1 ms per kilobyte of
+// the answer, is below this fraction of the local one's. Local servers aren't always preferred, because the servers of a
+// service differ in speed and the only local one may be slow.
+constexpr double maxFarTimeRatio = 0.75;
+constexpr std::chrono::milliseconds farPenalty{20};
+constexpr std::chrono::duration<double, std::milli> farPenaltyPerByte{0.001};
+// Lower bound of the expected latency as a fraction of the average, whatever speed was reported.
+constexpr double minTimeRatio = 0.2;
+// A server that fails one call in four counts as four times as slow: a failed call is either retried or fails the whole call
+// chain above it.
+constexpr double failurePenalty = 12.0;
 constexpr double outlierShare = 0.5;
-constexpr double outlierOverPeers = 0.3;
+constexpr double outlierMargin = 0.3;
 constexpr int hangFactor = 3;
-constexpr std::chrono::milliseconds shortestHang{50};
-// A daemon that has just started learns of servers one by one; none of them is cold for that.
-constexpr std::chrono::seconds learningTime{5};
+constexpr std::chrono::milliseconds minHangTime{50};
+// A daemon that has just started discovers servers one by one; servers discovered within this time aren't treated as cold.
+constexpr std::chrono::seconds startupGrace{5};
 
 } // namespace internal
 
@@ -49,28 +49,28 @@
     }
     std::map<std::string, std::vector<DaemonId>> near;
     std::map<std::string, std::vector<DaemonId>> far;
-    std::map<std::string, std::vector<DaemonId>> leaving;
+    std::map<std::string, std::vector<DaemonId>> draining;
     for (const membership::Member &member : members) {
         if (member.state == membership::MemberState::serving) {
-            takeMember(member, self.dataCentre, now);
+            updateServer(member, self.dataCentre, now);
             (member.dataCentre == self.dataCentre ? near : far)[member.service].push_back(member.id);
         } else if (member.state == membership::MemberState::draining) {
-            takeMember(member, self.dataCentre, now);
-            leaving[member.service].push_back(member.id);
+            updateServer(member, self.dataCentre, now);
+            draining[member.service].push_back(member.id);
         }
     }
     std::erase_if(m_servers, [this](const auto &entry) {
         if (entry.second.isServing || entry.second.record.inFlight() > 0) {
             return false;
         }
-        m_services[entry.second.service].paces.forget(entry.first);
+        m_services[entry.second.service].performance.forget(entry.first);
         return true;
     });
     for (auto &[name, service] : m_services) {
         service.servers.clear();
-        service.leaving = std::move(leaving[name]);
+        service.draining = std::move(draining[name]);
     }
-    // Near and far servers have subsets of their own, so that there is always somewhere to spill to.
+    // Local and remote servers get separate subsets, so that calls can always spill over to another data centre.
     for (auto *const group : {&near, &far}) {
         for (auto &[service, ids] : *group) {
             const std::vector<DaemonId> subset = subsetOf(self.id, std::move(ids), internal::subsetSize);
@@ -80,7 +80,7 @@
     }
 }
 
-void AdaptiveRouter::takeMember(const membership::Member &member, const std::string &ownDataCentre, const SteadyTime now)
+void AdaptiveRouter::updateServer(const membership::Member &member, const std::string &ownDataCentre, const SteadyTime now)
 {
     const auto found = m_servers.find(member.id);
     if (found != m_servers.end() && found->second.incarnation == member.incarnation && found->second.service == member.service) {
@@ -91,7 +91,7 @@
     }
     const auto service = m_services.find(member.service);
     const bool hasPeers = service != m_services.end() && !service->second.servers.empty();
-    const bool isCold = hasPeers && now - *m_startedAt > internal::learningTime;
+    const bool isCold = hasPeers && now - *m_startedAt > internal::startupGrace;
     Server server{
         .incarnation = member.incarnation,
         .service = member.service,
@@ -99,7 +99,7 @@
         .isServing = true,
         .record = ServerRecord{member.slots, now, isCold},
     };
-    m_services[member.service].paces.forget(member.id);
+    m_services[member.service].performance.forget(member.id);
     m_servers.insert_or_assign(member.id, std::move(server));
 }
 
@@ -109,16 +109,16 @@
     if (service == m_services.end()) {
         return std::nullopt;
     }
-    const std::vector<DaemonId> candidates = candidatesOf(service->second, request, now);
+    const std::vector<DaemonId> candidates = candidateServers(service->second, request, now);
     std::vector<DaemonId> near;
     std::vector<DaemonId> far;
     for (const DaemonId &id : candidates) {
         (m_servers.at(id).isNear ? near : far).push_back(id);
     }
     std::optional<Choice> chosen = betterOfTwo(service->second, request.kind, near, now);
-    const std::optional<Choice> further = betterOfTwo(service->second, request.kind, far, now);
-    if (!chosen.has_value() || (further.has_value() && isWorthTheWay(service->second, request.kind, *chosen, *further))) {
-        chosen = further;
+    const std::optional<Choice> farChoice = betterOfTwo(service->second, request.kind, far, now);
+    if (!chosen.has_value() || (farChoice.has_value() && isFarPreferable(service->second, request.kind, *chosen, *farChoice))) {
+        chosen = farChoice;
     }
     if (!chosen.has_value()) {
         return std::nullopt;
@@ -127,11 +127,11 @@
     return chosen->id;
 }
 
-std::vector<DaemonId> AdaptiveRouter::candidatesOf(const Service &service, const RouteRequest &request, const SteadyTime now)
+std::vector<DaemonId> AdaptiveRouter::candidateServers(const Service &service, const RouteRequest &request, const SteadyTime now)
 {
     std::vector<DaemonId> healthy;
     std::vector<DaemonId> all;
-    for (const DaemonId &id : remainingOf(service, request)) {
+    for (const DaemonId &id : untriedServers(service, request)) {
         ServerRecord &record = m_servers.at(id).record;
         record.expire(now);
         all.push_back(id);
@@ -142,36 +142,37 @@
     return healthy.empty() ? all : healthy;
 }
 
-std::vector<DaemonId> AdaptiveRouter::remainingOf(const Service &service, const RouteRequest &request)
+std::vector<DaemonId> AdaptiveRouter::untriedServers(const Service &service, const RouteRequest &request)
 {
-    std::vector<DaemonId> remaining;
-    const auto isLeft = [&request](const DaemonId &id) {
+    std::vector<DaemonId> untried;
+    const auto isUntried = [&request](const DaemonId &id) {
         return !request.excluded.contains(id);
     };
-    std::copy_if(service.servers.begin(), service.servers.end(), std::back_inserter(remaining), isLeft);
-    if (remaining.empty()) {
-        // The last servers of a small service may all be leaving, or their daemons ending, one restart after the other. Their
-        // doors stay open for a while; without them each request that leads there fails until one is back.
-        std::copy_if(service.leaving.begin(), service.leaving.end(), std::back_inserter(remaining), isLeft);
+    std::copy_if(service.servers.begin(), service.servers.end(), std::back_inserter(untried), isUntried);
+    if (untried.empty()) {
+        // In a rolling restart of a small service, all of its servers or their daemons may be draining at once. They still
+        // accept calls for a while; without this fallback every request to the service fails until one is back.
+        std::copy_if(service.draining.begin(), service.draining.end(), std::back_inserter(untried), isUntried);
     }
-    return remaining;
+    return untried;
 }
 
-AdaptiveRouter::Milliseconds AdaptiveRouter::expected(const Service &service, const std::string &kind, const DaemonId &id, const SteadyTime now) const
+AdaptiveRouter::Milliseconds AdaptiveRouter::expectedLatency(const Service &service, const std::string &kind, const DaemonId &id, const SteadyTime now) const
 {
-    const Duration usual = std::max(service.usual.latency(kind), service.paces.mean(kind));
-    const Duration shortest = std::chrono::duration_cast<Duration>(usual * internal::fastestShare);
-    const Milliseconds alone = std::max(usual + service.paces.excess(id, kind, now), shortest);
-    // Servers slow down as they fill, and beyond their slots calls wait; the square keeps all calls from one fast server.
+    const Duration average = std::max(service.averages.latency(kind), service.performance.mean(kind));
+    const Duration minimum = std::chrono::duration_cast<Duration>(average * internal::minTimeRatio);
+    const Milliseconds unloaded = std::max(average + service.performance.excessTime(id, kind, now), minimum);
+    // Servers slow down under load, and calls beyond their slots are queued. The quadratic term keeps a single fast server
+    // from getting all calls.
     const double load = m_servers.at(id).record.load(now);
-    // What fails has to be made again, or fails its caller.
-    return alone * (1.0 + load * load) * (1.0 + internal::failingWeight * service.paces.failing(id, kind, now));
+    // A failed call has to be retried or fails its caller, so failures count as extra latency.
+    return unloaded * (1.0 + load * load) * (1.0 + internal::failurePenalty * service.performance.failureShare(id, kind, now));
 }
 
-bool AdaptiveRouter::isWorthTheWay(const Service &service, const std::string &kind, const Choice &near, const Choice &far)
+bool AdaptiveRouter::isFarPreferable(const Service &service, const std::string &kind, const Choice &near, const Choice &far)
 {
-    const Milliseconds way = internal::wayTime + internal::wayTimePerByte * service.usual.bytes(kind);
-    return far.expected + way < internal::worthTheWay * near.expected;
+    const Milliseconds penalty = internal::farPenalty + internal::farPenaltyPerByte * service.averages.bytes(kind);
+    return far.expectedLatency + penalty < internal::maxFarTimeRatio * near.expectedLatency;
 }
 
 std::optional<AdaptiveRouter::Choice>
@@ -183,9 +184,9 @@
     const std::size_t first = m_random.below(candidates.size());
     const std::size_t step = candidates.size() == 1 ? 0 : 1 + m_random.below(candidates.size() - 1);
     const std::size_t second = (first + step) % candidates.size();
-    const Milliseconds atFirst = expected(service, kind, candidates[first], now);
-    const Milliseconds atSecond = expected(service, kind, candidates[second], now);
-    return atSecond < atFirst ? Choice{.id = candidates[second], .expected = atSecond} : Choice{.id = candidates[first], .expected = atFirst};
+    const Milliseconds atFirst = expectedLatency(service, kind, candidates[first], now);
+    const Milliseconds atSecond = expectedLatency(service, kind, candidates[second], now);
+    return atSecond < atFirst ? Choice{.id = candidates[second], .expectedLatency = atSecond} : Choice{.id = candidates[first], .expectedLatency = atFirst};
 }
 
 void AdaptiveRouter::noteResult(const DaemonId &daemon, const AttemptResult &result, const SteadyTime now)
@@ -196,20 +197,20 @@
     }
     Service &service = m_services[found->second.service];
     if (result.outcome == AttemptOutcome::answered) {
-        service.usual.note(result.kind, result.latency, result.bytes);
+        service.averages.note(result.kind, result.latency, result.bytes);
     }
     found->second.record.end(result, isFailure(service, result), now);
     ejectOutlier(service, daemon, now);
 }
 
-void AdaptiveRouter::notePaces(const DaemonId &daemon, const std::vector<admission::KindPace> &paces, const SteadyTime now)
+void AdaptiveRouter::notePerformance(const DaemonId &daemon, const std::vector<admission::KindPerformance> &performance, const SteadyTime now)
 {
     const auto found = m_servers.find(daemon);
     if (found == m_servers.end()) {
         return;
     }
-    for (const admission::KindPace &pace : paces) {
-        m_services[found->second.service].paces.note(daemon, pace, now);
+    for (const admission::KindPerformance &entry : performance) {
+        m_services[found->second.service].performance.note(daemon, entry, now);
     }
 }
 
@@ -220,8 +221,9 @@
     case AttemptOutcome::lost:
         return true;
     case AttemptOutcome::abandoned:
-        // Callers with short timeouts hide a server that hangs: its attempts end early and it would look idle.
-        return result.latency > std::max<Duration>(internal::hangFactor * service.usual.latency(result.kind), internal::shortestHang);
+        // A server that hangs would look idle to callers with short timeouts, since they abandon its attempts early. So an
+        // abandoned attempt that took far longer than average counts as a failure.
+        return result.latency > std::max<Duration>(internal::hangFactor * service.averages.latency(result.kind), internal::minHangTime);
     case AttemptOutcome::answered:
     case AttemptOutcome::refused:
         break;
@@ -236,8 +238,8 @@
     if (share < internal::outlierShare || record.isEjected(now)) {
         return;
     }
-    // When all servers of a service fail, the cause is elsewhere, as in a service further down, and taking servers out
-    // would only make the rest fuller. So a server is judged against its peers, and half of them always stay.
+    // When all servers of a service fail, the cause is elsewhere, for example in a service they depend on, and ejecting
+    // servers would only overload the rest. So a server is compared with its peers, and at most half of them are ejected.
     std::size_t ejected = 0;
     std::size_t knownPeers = 0;
     double peerShares = 0.0;
@@ -252,10 +254,10 @@
             ++knownPeers;
         }
     }
-    // Peers that got nothing lately are not known to fail: a near server that fails fast looks empty, and would keep all
-    // requests from far ones that are well.
+    // Peers without recent attempts aren't assumed to fail: a local server that fails fast looks idle, and would otherwise
+    // keep all requests away from healthy servers in other data centres.
     const double peerShare = knownPeers == 0 ? 0.0 : peerShares / static_cast<double>(knownPeers);
-    const bool isOutlier = share > peerShare + internal::outlierOverPeers;
+    const bool isOutlier = share > peerShare + internal::outlierMargin;
     if (isOutlier && 2 * (ejected + 1) <= service.servers.size()) {
         record.eject(now);
     }
--- a/src/egretlatch/routing/adaptive_router.hpp
+++ b/src/egretlatch/routing/adaptive_router.hpp
@@ -4,20 +4,21 @@
 #include <map>
 
 #include <egretlatch/core/random_source.hpp>
+#include <egretlatch/routing/kind_averages.hpp>
 #include <egretlatch/routing/router.hpp>
-#include <egretlatch/routing/server_paces.hpp>
+#include <egretlatch/routing/server_performance.hpp>
 #include <egretlatch/routing/server_record.hpp>
-#include <egretlatch/routing/usual_times.hpp>
 
 namespace egretlatch::routing
 {
 
 /**
- * @brief The router of the whole design.
+ * @brief Routes by expected latency, with data centre affinity and outlier ejection.
  *
- * Takes the one of two random servers of the daemon's own data centre where the answer is expected first, by how slow and
- * how full each is; the better of two further away has the call where it is expected to answer that much sooner that the
- * way is paid for. Servers that fail more than their peers are taken out and tried again gently.
+ * Picks two random servers of the local data centre and chooses the one with the lower expected latency, estimated from its
+ * speed, its load and its failures (power of two choices). The better of two servers in other data centres gets the call if
+ * its expected latency is lower by more than the cost of the distance. Servers that fail more often than their peers are
+ * ejected for a while and then ramped up again.
  */
 class AdaptiveRouter final : public Router
 {
@@ -31,16 +32,16 @@
     void setMembers(const std::vector<membership::Member> &members, SteadyTime now) override;
     [[nodiscard]] std::optional<DaemonId> choose(const RouteRequest &request, SteadyTime now) override;
     void noteResult(const DaemonId &daemon, const AttemptResult &result, SteadyTime now) override;
-    void notePaces(const DaemonId &daemon, const std::vector<admission::KindPace> &paces, SteadyTime now) override;
+    void notePerformance(const DaemonId &daemon, const std::vector<admission::KindPerformance> &performance, SteadyTime now) override;
 
 private:
     using Milliseconds = std::chrono::duration<double, std::milli>;
 
-    /*! @brief A server that a call may go to, and when its answer is expected. */
+    /*! @brief A candidate server and its expected latency. */
     struct Choice
     {
         DaemonId id;
-        Milliseconds expected{};
+        Milliseconds expectedLatency{};
     };
 
     struct Server
@@ -55,20 +56,20 @@
     struct Service
     {
         std::vector<DaemonId> servers;
-        /*! @brief Those that have said that they leave; chosen only where no other is left. */
-        std::vector<DaemonId> leaving;
-        UsualTimes usual;
-        ServerPaces paces;
+        /*! @brief Draining servers; chosen only if no other server remains. */
+        std::vector<DaemonId> draining;
+        KindAverages averages;
+        ServerPerformance performance;
     };
 
-    [[nodiscard]] static std::vector<DaemonId> remainingOf(const Service &service, const RouteRequest &request);
-    [[nodiscard]] std::vector<DaemonId> candidatesOf(const Service &service, const RouteRequest &request, SteadyTime now);
-    [[nodiscard]] Milliseconds expected(const Service &service, const std::string &kind, const DaemonId &id, SteadyTime now) const;
-    [[nodiscard]] static bool isWorthTheWay(const Service &service, const std::string &kind, const Choice &near, const Choice &far);
+    [[nodiscard]] static std::vector<DaemonId> untriedServers(const Service &service, const RouteRequest &request);
+    [[nodiscard]] std::vector<DaemonId> candidateServers(const Service &service, const RouteRequest &request, SteadyTime now);
+    [[nodiscard]] Milliseconds expectedLatency(const Service &service, const std::string &kind, const DaemonId &id, SteadyTime now) const;
+    [[nodiscard]] static bool isFarPreferable(const Service &service, const std::string &kind, const Choice &near, const Choice &far);
     [[nodiscard]] std::optional<Choice> betterOfTwo(const Service &service, const std::string &kind, const std::vector<DaemonId> &candidates, SteadyTime now);
     [[nodiscard]] bool isFailure(const Service &service, const AttemptResult &result) const;
     void ejectOutlier(const Service &service, const DaemonId &daemon, SteadyTime now);
-    void takeMember(const membership::Member &member, const std::string &ownDataCentre, SteadyTime now);
+    void updateServer(const membership::Member &member, const std::string &ownDataCentre, SteadyTime now);
 
     RandomSource &m_random;
     std::map<DaemonId, Server> m_servers;
--- a/src/egretlatch/routing/fwd.hpp
+++ b/src/egretlatch/routing/fwd.hpp
@@ -11,10 +11,10 @@
 
 class Router;
 class AdaptiveRouter;
+class KindAverages;
 class LeastLoadedRouter;
-class ServerPaces;
+class ServerPerformance;
 class ServerRecord;
-class UsualTimes;
 
 } // namespace egretlatch::routing
 
--- a/src/egretlatch/routing/least_loaded_router.hpp
+++ b/src/egretlatch/routing/least_loaded_router.hpp
@@ -9,7 +9,7 @@
 namespace egretlatch::routing
 {
 
-/*! @brief A baseline: the better of two random servers, by this daemon's own attempts in flight. */
+/*! @brief Baseline router: chooses the one of two random servers with fewer attempts in flight from this daemon. */
 class LeastLoadedRouter final : public Router
 {
 public:
@@ -21,7 +21,7 @@
 
     void setMembers(const std::vector<membership::Member> &members, SteadyTime now) override;
     [[nodiscard]] std::optional<DaemonId> choose(const RouteRequest &request, SteadyTime now) override;
-    void notePaces(const DaemonId & /*daemon*/, const std::vector<admission::KindPace> & /*paces*/, SteadyTime /*now*/) override
+    void notePerformance(const DaemonId & /*daemon*/, const std::vector<admission::KindPerformance> & /*performance*/, SteadyTime /*now*/) override
     {
     }
     void noteResult(const DaemonId &daemon, const AttemptResult &result, SteadyTime now) override;
--- a/src/egretlatch/settings/sidecar_settings.cpp
+++ b/src/egretlatch/settings/sidecar_settings.cpp
@@ -13,14 +13,14 @@
 namespace internal
 {
 
-constexpr Range<std::int64_t> sidecarPortRange{.least = 1, .most = 65535};
+constexpr Range<std::int64_t> sidecarPortRange{.min = 1, .max = 65535};
 
 [[nodiscard]] static net::Endpoint readEndpoint(JsonObjectReader &reader, const std::string &key)
 {
     const std::string text = reader.text(key);
     const std::optional<net::Endpoint> endpoint = net::Endpoint::parse(text);
     if (!endpoint.has_value()) {
-        reader.report(key, "\"" + text + "\"", "ADDRESS:PORT with an IP number");
+        reader.report(key, "\"" + text + "\"", "ADDRESS:PORT with an IP address");
     }
     return endpoint.value_or(net::Endpoint{});
 }
@@ -31,7 +31,7 @@
     reader.list("peerPorts", true, [&ports](const QJsonValue &element, const std::string & /*pointer*/) {
         ports.push_back(element.toInt(-1));
     });
-    const bool isUsable = !ports.empty() && ports.front() >= sidecarPortRange.least && ports.front() <= sidecarPortRange.most;
+    const bool isUsable = !ports.empty() && ports.front() >= sidecarPortRange.min && ports.front() <= sidecarPortRange.max;
     if (!isUsable) {
         reader.report("peerPorts", "no port", "a list whose first number is a port");
         return 0;
@@ -39,37 +39,37 @@
     return static_cast<std::uint16_t>(ports.front());
 }
 
-[[nodiscard]] static SwitchedOff readSwitchedOff(JsonObjectReader &reader)
+[[nodiscard]] static DisabledMechanisms readDisabledMechanisms(JsonObjectReader &reader)
 {
-    SwitchedOff switchedOff;
+    DisabledMechanisms disabledMechanisms;
     reader.list("switchedOff", false, [&](const QJsonValue &element, const std::string & /*pointer*/) {
-        const std::string word = element.toString().toStdString();
-        const auto found = std::find_if(mechanismNames.begin(), mechanismNames.end(), [&word](const MechanismName &candidate) {
-            return candidate.name == word;
+        const std::string name = element.toString().toStdString();
+        const auto found = std::find_if(mechanismNames.begin(), mechanismNames.end(), [&name](const MechanismName &candidate) {
+            return candidate.name == name;
         });
         if (found == mechanismNames.end()) {
             reader.report("switchedOff", describe(element), "names of mechanisms");
             return;
         }
-        switchedOff.insert(found->mechanism);
+        disabledMechanisms.insert(found->mechanism);
     });
-    return switchedOff;
+    return disabledMechanisms;
 }
 
-// The bounds as texts of the form `name=value`, whatever the type of the value.
-[[nodiscard]] static std::vector<std::string> readBoundTexts(JsonObjectReader &reader, Problems &problems)
+// Reads the bounds as entries of the form `name=value`, whatever the type of the value.
+[[nodiscard]] static std::vector<std::string> readBoundEntries(JsonObjectReader &reader, Problems &problems)
 {
-    std::vector<std::string> texts;
+    std::vector<std::string> entries;
     const std::optional<QJsonValue> member = reader.member("bounds");
     if (member.has_value() && !member->isObject()) {
         problems.push_back({.pointer = reader.pointerTo("bounds"), .found = describe(*member), .allowed = "an object of bounds by name"});
-        return texts;
+        return entries;
     }
     const QJsonObject bounds = member.value_or(QJsonValue{}).toObject();
     for (auto bound = bounds.begin(); bound != bounds.end(); ++bound) {
-        texts.push_back(bound.key().toStdString() + '=' + bound.value().toVariant().toString().toStdString());
+        entries.push_back(bound.key().toStdString() + '=' + bound.value().toVariant().toString().toStdString());
     }
-    return texts;
+    return entries;
 }
 
 } // namespace internal
@@ -100,9 +100,9 @@
     if (reader.member("announcedPeer").has_value()) {
         settings.announcedPeer = internal::readEndpoint(reader, "announcedPeer");
     }
-    settings.boundTexts = internal::readBoundTexts(reader, problems);
+    settings.boundEntries = internal::readBoundEntries(reader, problems);
     settings.policy = readPolicy(reader);
-    settings.switchedOff = internal::readSwitchedOff(reader);
+    settings.disabledMechanisms = internal::readDisabledMechanisms(reader);
     settings.logLevel = readLogLevel(reader);
     if (hasError(problems)) {
         return tl::unexpected{problems};
--- a/src/egretlatch/sidecar/backend_runner.cpp
+++ b/src/egretlatch/sidecar/backend_runner.cpp
@@ -8,17 +8,17 @@
 namespace internal
 {
 
-// The decisions end a run at its deadline; this only frees the connection should they forget it.
+// The decision core aborts a run at its deadline. This later deadline only frees the connection if it fails to.
 constexpr std::chrono::milliseconds deadlineMargin{500};
 constexpr http::ReadLimits answerLimits{.headerBytes = 64U * 1024U, .bodyBytes = 64ULL * 1024U * 1024U};
 
-[[nodiscard]] static std::variant<decision::RunAnswer, decision::RunFailure> endOf(const http::Outcome &result)
+[[nodiscard]] static std::variant<decision::RunAnswer, decision::RunFailure> runResultOf(const http::Outcome &result)
 {
     if (const auto *const answer = std::get_if<http::Response>(&result)) {
         return platform::readRun(*answer);
     }
-    const bool hasNeverLeft = std::get<http::Failure>(result) == http::Failure::neverConnected;
-    return hasNeverLeft ? decision::RunFailure::neverConnected : decision::RunFailure::lost;
+    const bool isNotConnected = std::get<http::Failure>(result) == http::Failure::notConnected;
+    return isNotConnected ? decision::RunFailure::notConnected : decision::RunFailure::lost;
 }
 
 } // namespace internal
@@ -32,28 +32,28 @@
 
 void BackendRunner::start(const decision::StartRun &start, const std::string &instance)
 {
-    http::Outgoing outgoing;
+    http::OutgoingRequest outgoing;
     outgoing.bytes = http::encode(platform::writeRun(start.request, instance));
-    outgoing.isOwn = [name = platform::requestNameOf(start.request)](const http::Response &answer) {
+    outgoing.isMatchingResponse = [name = platform::requestNameOf(start.request)](const http::Response &answer) {
         return platform::isAnswerTo(answer, name);
     };
     outgoing.deadline = m_clock.steadyNow() + start.request.remaining + internal::deadlineMargin;
     const ExecutionId execution = start.execution;
     outgoing.onResult = [this, execution](const http::Outcome &result) {
-        m_tickets.erase(execution.value);
-        m_onEnded({.execution = execution, .result = internal::endOf(result)});
+        m_requestIds.erase(execution.value);
+        m_onEnded({.execution = execution, .result = internal::runResultOf(result)});
     };
-    const http::TicketId ticket = m_pool.send(std::move(outgoing));
-    m_tickets.emplace(execution.value, ticket);
+    const http::ClientRequestId id = m_pool.send(std::move(outgoing));
+    m_requestIds.emplace(execution.value, id);
 }
 
 void BackendRunner::abort(const ExecutionId execution)
 {
-    const auto found = m_tickets.find(execution.value);
-    if (found != m_tickets.end()) {
-        const http::TicketId ticket = found->second;
-        m_tickets.erase(found);
-        m_pool.cancel(ticket);
+    const auto found = m_requestIds.find(execution.value);
+    if (found != m_requestIds.end()) {
+        const http::ClientRequestId id = found->second;
+        m_requestIds.erase(found);
+        m_pool.cancel(id);
     }
 }
 
--- a/src/egretlatch/sidecar/caller_front.cpp
+++ b/src/egretlatch/sidecar/caller_frontend.cpp
@@ -1,4 +1,4 @@
-#include <egretlatch/sidecar/caller_front.hpp>
+#include <egretlatch/sidecar/caller_frontend.hpp>
 
 #include <algorithm>
 
@@ -11,12 +11,12 @@
 {
 
 constexpr int notFound = 404;
-// A call whose time is over is refused by the decisions, like any other that comes too late.
-constexpr std::chrono::milliseconds shortestTimeout{1};
-// A daemon without a configuration has one within a second of reaching the store or another daemon.
+// An expired call keeps a minimal timeout, so that the decision core refuses it like any other late call.
+constexpr std::chrono::milliseconds minTimeout{1};
+// A daemon receives its configuration within a second of reaching the store or another daemon.
 constexpr std::chrono::milliseconds retryWithoutConfiguration{1000};
 
-[[nodiscard]] static decision::CallerAnswer withoutConfiguration()
+[[nodiscard]] static decision::CallerAnswer noConfigurationAnswer()
 {
     decision::CallerAnswer answer;
     answer.refusal = account::Refusal{.id = {},
@@ -28,17 +28,17 @@
     return answer;
 }
 
-[[nodiscard]] static decision::CallerAnswer withoutRoute()
+[[nodiscard]] static decision::CallerAnswer noRouteAnswer()
 {
     decision::CallerAnswer answer;
     answer.status = notFound;
-    answer.mistake = "no route begins this path";
+    answer.requestError = "no route begins this path";
     return answer;
 }
 
 } // namespace internal
 
-CallerFront::CallerFront(net::Poller &poller, const Clock &clock, RandomSource &random, std::string service, EventHandler onEvent)
+CallerFrontend::CallerFrontend(net::Poller &poller, const Clock &clock, RandomSource &random, std::string service, EventHandler onEvent)
     : m_clock{clock}
     , m_service{std::move(service)}
     , m_onEvent{std::move(onEvent)}
@@ -46,10 +46,10 @@
     , m_server{poller,
                clock,
                [this](const ExchangeId exchange, http::Request request, const SteadyTime readAt) {
-                   take(exchange, std::move(request), readAt);
+                   handleRequest(exchange, std::move(request), readAt);
                },
                [this](const ExchangeId exchange) {
-                   m_names.erase(exchange);
+                   m_requestNames.erase(exchange);
                    m_onEvent(decision::CallerGone{.exchange = exchange});
                }}
 {
@@ -58,7 +58,7 @@
     });
 }
 
-void CallerFront::setManifest(std::shared_ptr<const manifest::Manifest> manifest)
+void CallerFrontend::setManifest(std::shared_ptr<const manifest::Manifest> manifest)
 {
     m_manifest = std::move(manifest);
     const manifest::CallerLimits &limits = m_manifest->callerLimits();
@@ -70,18 +70,18 @@
     });
 }
 
-void CallerFront::answer(const decision::AnswerCaller &order)
+void CallerFrontend::answer(const decision::AnswerCaller &action)
 {
-    const auto found = m_names.find(order.exchange);
-    if (found == m_names.end()) {
+    const auto found = m_requestNames.find(action.exchange);
+    if (found == m_requestNames.end()) {
         return;
     }
     const std::string name = std::move(found->second);
-    m_names.erase(found);
-    m_server.answer(order.exchange, platform::writeAnswer(order.answer, name));
+    m_requestNames.erase(found);
+    m_server.answer(action.exchange, platform::writeAnswer(action.answer, name));
 }
 
-bool CallerFront::mayOverlap(const http::Request &request) const
+bool CallerFrontend::mayOverlap(const http::Request &request) const
 {
     if (!m_overlaps) {
         return false;
@@ -96,17 +96,17 @@
     });
 }
 
-void CallerFront::take(const ExchangeId exchange, http::Request request, const SteadyTime readAt)
+void CallerFrontend::handleRequest(const ExchangeId exchange, http::Request request, const SteadyTime readAt)
 {
     platform::CallerRequest caller = platform::readCaller(request);
-    m_names.emplace(exchange, caller.name);
+    m_requestNames.emplace(exchange, caller.name);
     if (m_manifest == nullptr) {
-        answer({.exchange = exchange, .answer = internal::withoutConfiguration()});
+        answer({.exchange = exchange, .answer = internal::noConfigurationAnswer()});
         return;
     }
     const manifest::RouteSpec *const route = m_manifest->findRoute(caller.host, caller.path);
     if (route == nullptr) {
-        answer({.exchange = exchange, .answer = internal::withoutRoute()});
+        answer({.exchange = exchange, .answer = internal::noRouteAnswer()});
         return;
     }
     decision::CallerCall call;
@@ -120,8 +120,8 @@
     call.parentName = std::move(caller.parentName);
     const manifest::KindSpec *const kind = m_manifest->findKind(call.service, call.kind);
     const auto waited = std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.steadyNow() - readAt);
-    // One that waited behind others until its time was over is told so as one that did not run.
-    call.timeout = std::max(std::min(caller.patience.value_or(kind->deadline), kind->deadline) - waited, internal::shortestTimeout);
+    // A request that expired while it waited behind others on its connection is refused as not run.
+    call.timeout = std::max(std::min(caller.timeout.value_or(kind->deadline), kind->deadline) - waited, internal::minTimeout);
     m_onEvent(decision::CallArrived{.exchange = exchange, .call = std::move(call)});
 }
 
--- a/src/egretlatch/sidecar/gauges.cpp
+++ b/src/egretlatch/sidecar/gauges.cpp
@@ -13,7 +13,7 @@
 namespace internal
 {
 
-// Resident memory as the kernel counts it, or nothing where it does not say.
+// Returns the resident memory that the kernel reports, or nothing if it cannot be read.
 [[nodiscard]] static std::optional<double> residentBytes()
 {
     std::ifstream statm{"/proc/self/statm"};
@@ -52,11 +52,11 @@
     if (sources.inForceSince.has_value()) {
         metrics.set("configuration_age_seconds", std::chrono::duration<double>(now - *sources.inForceSince).count());
     }
-    for (const auto &[service, left] : core.retriesLeft()) {
-        metrics.set(fmt::format("retries_left{{service=\"{}\"}}", service), left);
+    for (const auto &[service, retries] : core.retriesLeft()) {
+        metrics.set(fmt::format("retries_left{{service=\"{}\"}}", service), retries);
     }
     internal::setMembers(core.roster(), metrics);
-    metrics.set("log_lines_left_out", static_cast<double>(sources.logLinesLeftOut));
+    metrics.set("log_lines_left_out", static_cast<double>(sources.logLinesOmitted));
     if (const std::optional<double> bytes = internal::residentBytes()) {
         metrics.set("resident_memory_bytes", *bytes);
     }
--- a/src/egretlatch/sidecar/sidecar.hpp
+++ b/src/egretlatch/sidecar/sidecar.hpp
@@ -17,10 +17,10 @@
 #include <egretlatch/settings/fleet_bounds.hpp>
 #include <egretlatch/settings/sidecar_settings.hpp>
 #include <egretlatch/sidecar/backend_runner.hpp>
-#include <egretlatch/sidecar/caller_front.hpp>
+#include <egretlatch/sidecar/caller_frontend.hpp>
 #include <egretlatch/sidecar/configuration_feed.hpp>
 #include <egretlatch/sidecar/level_log.hpp>
-#include <egretlatch/sidecar/report_intake.hpp>
+#include <egretlatch/sidecar/report_handler.hpp>
 #include <egretlatch/sidecar/request_log.hpp>
 #include <egretlatch/sidecar/store_client.hpp>
 
@@ -28,18 +28,19 @@
 {
 
 /**
- * @brief A daemon on a VM that the platform runs.
+ * @brief Daemon on a VM of the platform.
  *
- * Callers, the backend server, the store, the other daemons and the decisions share one event loop: on a part of one core
- * each hand-over to another thread is a wake-up and a system call that buys no parallel work.
+ * Connections to callers, the backend server, the store and other daemons share one event loop with the decision core. With
+ * only part of a processor core available, handing work to another thread costs a wake-up and a system call and gains no
+ * parallelism.
  */
 class Sidecar
 {
 public:
     /**
-     * @brief Builds a daemon that does nothing yet.
-     * @param settings Its settings.
-     * @param onEnded Called once it has drained, or has had its time for that.
+     * @brief Builds a daemon that is not started yet.
+     * @param settings Settings of the daemon.
+     * @param onEnded Called once it has drained, or when the time limit for that has passed.
      */
     Sidecar(settings::SidecarSettings settings, std::function<void()> onEnded);
     Sidecar(const Sidecar &) = delete;
@@ -47,17 +48,17 @@
     ~Sidecar();
 
     /**
-     * @brief Begins to listen and to look for the fleet.
-     * @return Nothing, or why an address cannot be had.
+     * @brief Starts listening and discovering the fleet.
+     * @return Nothing, or the error if an address cannot be bound.
      */
     [[nodiscard]] Result<void> start();
 
-    /*! @brief Takes itself out of the fleet, finishes what is under way, and ends. */
+    /*! @brief Leaves the fleet, completes requests in flight, and ends. */
     void drain();
 
     /**
-     * @brief Takes changed settings; addresses stay as they are until the next start.
-     * @param settings The settings.
+     * @brief Applies the changed bounds; all other settings take effect at the next start.
+     * @param settings The new settings.
      */
     void reload(const settings::SidecarSettings &settings);
 
@@ -67,19 +68,19 @@
     [[nodiscard]] double usedShareOfRetries() const;
     void post(decision::Event event);
     void handle(const decision::Event &event);
-    void carryOut(decision::Action action);
-    void rearm();
+    void execute(decision::Action action);
+    void rescheduleTick();
     void tick();
-    void keepHouse();
-    void noteLevel();
-    [[nodiscard]] std::chrono::milliseconds longestTimeout() const;
-    void takeReport(ExchangeId exchange, const http::Request &request);
+    void runMaintenance();
+    void logLevelChange();
+    [[nodiscard]] std::chrono::milliseconds maxTimeout() const;
+    void handleReport(ExchangeId exchange, const http::Request &request);
     void answerProbe(ExchangeId exchange, const http::Request &request);
     [[nodiscard]] bool isReady() const;
     [[nodiscard]] http::Response metricsPage();
-    void takeConfiguration(const QByteArray &document);
-    void putInForce();
-    void endNow(std::string_view reason);
+    void handleConfiguration(const QByteArray &document);
+    void applyConfiguration();
+    void stop(std::string_view reason);
 
     settings::SidecarSettings m_settings;
     settings::FleetBounds m_bounds;
@@ -97,20 +98,20 @@
     StoreClient m_store;
     ConfigurationFeed m_feed;
     BackendRunner m_backend;
-    CallerFront m_front;
+    CallerFrontend m_frontend;
     http::Server m_readiness;
     http::Server m_metricsServer;
-    http::Server m_reports;
-    ReportIntake m_intake;
+    http::Server m_reportServer;
+    ReportHandler m_reportHandler;
     std::unique_ptr<decision::Core> m_core;
     std::deque<decision::Event> m_events;
     QTimer m_tickTimer;
-    QTimer m_houseTimer;
+    QTimer m_maintenanceTimer;
     SteadyTime m_nextTick;
     SteadyTime m_startedAt;
     std::optional<SteadyTime> m_drainSince;
     bool m_isHandling{};
-    /*! @brief Since when the configuration in force is; nothing without one. */
+    /*! @brief Time at which the current configuration came into force; empty without one. */
     std::optional<SteadyTime> m_inForceSince;
     bool m_isShuttingDown{};
     bool m_hasEnded{};
--- a/standin/load/load_worker.hpp
+++ b/standin/load/load_worker.hpp
@@ -16,36 +16,38 @@
 #include <load/history_record.hpp>
 #include <load/load_result.hpp>
 #include <load/planned_request.hpp>
-#include <load/run_kind.hpp>
+#include <load/request_kind.hpp>
 #include <load/scenario.hpp>
 
 namespace standin::load
 {
 
-/*! @brief What all workers of a run share; must outlive them. */
+/*! @brief Parameters shared by all workers of a run; must outlive them. */
 struct RunPlan
 {
-    std::vector<RunKind> kinds;
+    std::vector<RequestKind> kinds;
     CallerBehaviour callers;
+    /*! @brief Base URLs of the daemons; each attempt goes to a random one. */
     std::vector<std::string> entries;
     egretlatch::SteadyTime start;
+    /*! @brief Records every attempt for LoadWorker::history(). */
     bool keepsHistory{};
 };
 
-/*! @brief Plays the callers of a part of the schedule on one thread. */
+/*! @brief Sends a part of the schedule on one thread, as open-loop load: a slow answer does not delay later requests. */
 class LoadWorker
 {
 public:
     /**
-     * @brief Builds a worker.
-     * @param plan What all workers share.
-     * @param schedule Its part of the requests, earliest first.
-     * @param seed Seed of its choices of entries, keys and waits.
-     * @param number Makes the bodies of this worker unlike those of the others.
+     * @brief Constructs a worker.
+     * @param plan Parameters shared by all workers; must outlive the worker.
+     * @param schedule Requests of this worker, sorted by time.
+     * @param seed Seed for the choice of entries, the keys and the jitter of resends.
+     * @param workerIndex Index of the worker, which makes its request names and bodies distinct from those of other workers.
      */
-    LoadWorker(const RunPlan &plan, Schedule schedule, std::uint64_t seed, int number);
+    LoadWorker(const RunPlan &plan, Schedule schedule, std::uint64_t seed, int workerIndex);
 
-    /*! @brief Sends all requests at their times and returns when the last has ended. */
+    /*! @brief Sends all requests at their scheduled times and returns when the last one has ended; blocks the calling thread. */
     void run();
 
     [[nodiscard]] const LoadResult &result() const noexcept
@@ -62,7 +64,7 @@
     struct Request
     {
         std::size_t kind{};
-        bool isCancelled{};
+        bool isCancelledByCaller{};
         std::string name;
         std::string key;
         std::string body;
@@ -73,31 +75,31 @@
 
     using RequestPtr = std::shared_ptr<Request>;
 
-    void waitForNext();
-    void sendDue();
-    void begin(const PlannedRequest &planned);
-    void attempt(const RequestPtr &request);
-    void askForKey(const RequestPtr &request);
+    void scheduleNext();
+    void sendDueRequests();
+    void startRequest(const PlannedRequest &planned);
+    void startAttempt(const RequestPtr &request);
+    void requestKey(const RequestPtr &request);
     void sendCall(const RequestPtr &request);
     void handleReply(const RequestPtr &request, egretlatch::SteadyTime sentAt, const HttpReply &reply);
     void handleOutcome(const RequestPtr &request, egretlatch::SteadyTime sentAt, const AttemptOutcome &outcome, const HttpReply &reply);
-    void record(const Request &request, egretlatch::SteadyTime sentAt, const AttemptOutcome &outcome, int status);
-    void resendLater(const RequestPtr &request, std::chrono::seconds retryAfter);
-    void end(const Request &request, const AttemptOutcome &outcome);
+    void recordAttempt(const Request &request, egretlatch::SteadyTime sentAt, const AttemptOutcome &outcome, int status);
+    void scheduleResend(const RequestPtr &request, std::chrono::seconds retryAfter);
+    void finishRequest(const Request &request, const AttemptOutcome &outcome);
     [[nodiscard]] bool needsKey(const Request &request) const;
-    [[nodiscard]] ConnectionPool &anyEntry();
+    [[nodiscard]] ConnectionPool &randomEntry();
     [[nodiscard]] HttpRequest makeRequest(const Request &request, const std::string &authority) const;
-    [[nodiscard]] std::string bodyOf(const PlannedRequest &planned, const std::string &name) const;
+    [[nodiscard]] std::string makeBody(const PlannedRequest &planned, const std::string &name) const;
     [[nodiscard]] std::int64_t secondOf(egretlatch::SteadyTime time) const;
 
     const RunPlan &m_plan;
     Schedule m_schedule;
-    std::size_t m_next{};
-    int m_number;
-    std::uint64_t m_lastRequest{};
-    int m_open{};
+    std::size_t m_nextRequest{};
+    int m_workerIndex;
+    std::uint64_t m_lastRequestNumber{};
+    int m_openRequests{};
     egretlatch::SeededRandom m_random;
-    egretlatch::UuidMint m_mint;
+    egretlatch::UuidGenerator m_uuidGenerator;
     boost::asio::io_context m_context;
     boost::asio::steady_timer m_timer;
     std::vector<std::unique_ptr<ConnectionPool>> m_pools;
--- a/test/egretlatch/account/refusal_ledger.cpp
+++ b/test/egretlatch/account/refusal_ledger.cpp
@@ -12,14 +12,14 @@
 namespace
 {
 
-/*! @brief Makes refusals at the time of a clock. */
-struct Maker
+/*! @brief Creates refusal records at the time of a manual clock. */
+struct RecordMaker
 {
     RefusalRecord make()
     {
         RefusalRecord record;
         record.time = clock.wallNow();
-        record.refusal.id = mint.mint(record.time);
+        record.refusal.id = uuidGenerator.generate(record.time);
         record.refusal.reason = RefusalReason::overloadAtServer;
         record.refusal.rule = "level (daemon launch-log-0)";
         record.refusal.figures = {{.name = "level", .value = 5.25}};
@@ -34,14 +34,14 @@
 
     fakes::ManualClock clock;
     SeededRandom random{1};
-    UuidMint mint{random};
+    UuidGenerator uuidGenerator{random};
 };
 
 } // namespace
 
-TEST_CASE("a batch survives the way through the object store")
+TEST_CASE("a batch is unchanged after encoding and decoding")
 {
-    Maker maker;
+    RecordMaker maker;
     AccountBatch batch;
     batch.daemon = {"launch-log-0"};
     batch.incarnation = {0xfedcba9876543210};
@@ -53,7 +53,7 @@
     CHECK(decodeBatch(encodeBatch(batch)) == batch);
 }
 
-TEST_CASE("anything else in the object store is no batch")
+TEST_CASE("data that is not a valid batch is rejected by the decoder")
 {
     CHECK_FALSE(decodeBatch({}));
     CHECK_FALSE(decodeBatch("\xff\xff\xff\xff of four gigabytes"));
@@ -63,11 +63,11 @@
     }));
 }
 
-TEST_CASE("a refusal is stored under the minute of its id, once, whatever answers are lost")
+TEST_CASE("a refusal is stored once, under the minute of its id, even if responses of the store are lost")
 {
-    // An auditor counts refusals twice. The put of a batch takes effect and its answer is lost; a batch made anew under
-    // another name would hold the same refusals again.
-    Maker maker;
+    // Guards against refusals that an auditor would count twice: a put takes effect but its response is lost, and a new
+    // batch under another name would contain the same refusals again.
+    RecordMaker maker;
     RefusalLedger ledger{{"a"}, {1}};
     ledger.add(maker.make());
     const std::optional<AccountBatch> first = ledger.nextBatch();
@@ -82,21 +82,21 @@
     CHECK(second->sequence == 2);
     ledger.acknowledge();
     CHECK_FALSE(ledger.nextBatch().has_value());
-    CHECK(ledger.waiting() == 0);
+    CHECK(ledger.pendingCount() == 0);
 }
 
-TEST_CASE("in a long outage memory is bounded, and what was dropped is an entry with its span")
+TEST_CASE("memory is bounded during a long outage, and dropped refusals are recorded with their count and time span")
 {
-    // The store is down for an hour of overload. The daemon would run out of its 128 MB; or it would drop refusals in
-    // silence, and an auditor would take the account for whole.
-    Maker maker;
-    RefusalLedger ledger{{"a"}, {1}, {.waiting = 100, .batch = 30, .recent = 10}};
+    // During an hour of overload with the store down, a daemon without a limit would exceed its 128 MB of memory. If it
+    // dropped refusals without a record, an auditor would take the account for complete.
+    RecordMaker maker;
+    RefusalLedger ledger{{"a"}, {1}, {.maxPending = 100, .maxBatch = 30, .maxRecent = 10}};
     for (int second = 0; second < 600; ++second) {
         ledger.add(maker.make());
         static_cast<void>(ledger.nextBatch());
         maker.clock.advance(std::chrono::seconds{1});
     }
-    CHECK(ledger.waiting() == 100);
+    CHECK(ledger.pendingCount() == 100);
     std::size_t refusals = 0;
     std::uint64_t dropped = 0;
     while (const std::optional<AccountBatch> batch = ledger.nextBatch()) {
@@ -112,9 +112,9 @@
     CHECK(dropped == 500);
 }
 
-TEST_CASE("the last batch of a life says that it is the last")
+TEST_CASE("only the last batch of an incarnation is marked as last")
 {
-    Maker maker;
+    RecordMaker maker;
     RefusalLedger ledger{{"a"}, {1}};
     ledger.add(maker.make());
     maker.clock.advance(std::chrono::minutes{3});
@@ -132,8 +132,8 @@
 
 TEST_CASE("recent refusals can be looked up before and after they are stored")
 {
-    Maker maker;
-    RefusalLedger ledger{{"a"}, {1}, {.recent = 2}};
+    RecordMaker maker;
+    RefusalLedger ledger{{"a"}, {1}, {.maxRecent = 2}};
     const RefusalRecord first = maker.make();
     const RefusalRecord second = maker.make();
     ledger.add(first);
@@ -144,9 +144,9 @@
     CHECK(ledger.find(second.refusal.id) == second);
 }
 
-TEST_CASE("no entry of the account holds a body, a header or a key")
+TEST_CASE("a stored refusal contains no body, header or request key")
 {
-    Maker maker;
+    RecordMaker maker;
     const QJsonObject entry = toJson(maker.make());
     const QStringList allowed{u"configurationVersion"_qs,
                               u"figures"_qs,
--- a/test/egretlatch/admission/run_estimator.cpp
+++ b/test/egretlatch/admission/run_estimator.cpp
@@ -13,15 +13,15 @@
 
 } // namespace
 
-TEST_CASE("one long run does not make the next one hopeless")
+TEST_CASE("one long run is not a lower bound for the next run")
 {
-    // A caller with all its time left is refused at once as hopeless. Of its kind there is a request now and then, and the
-    // last one happened to need all its time, or was cut short at the end of it.
+    // Guards against refusing a request of a rare kind with all of its time left, because the last run of that kind needed
+    // all its time or was abandoned at its deadline.
     RunEstimator cut;
-    cut.noteCutShort("kind", 1100ms, start);
+    cut.noteAbandoned("kind", 1100ms, start);
     CHECK(cut.shortest("kind", start) < 1100ms);
     RunEstimator ended;
-    ended.noteEnded("kind", 1051ms, start);
+    ended.noteCompleted("kind", 1051ms, start);
     CHECK(ended.shortest("kind", start) < 1049ms);
 }
 
@@ -29,7 +29,7 @@
 {
     RunEstimator estimator;
     for (const Duration held : {90ms, 60ms, 80ms, 70ms, 100ms}) {
-        estimator.noteEnded("kind", held, start);
+        estimator.noteCompleted("kind", held, start);
     }
     CHECK(estimator.shortest("kind", start) == 60ms);
 }
--- a/test/egretlatch/configuration/follower.cpp
+++ b/test/egretlatch/configuration/follower.cpp
@@ -21,19 +21,19 @@
     return QByteArray{R"({"services":[{"name":"roster","slots":)"} + QByteArray::number(slots) + R"(,"connections":100,"kinds":[]}]})";
 }
 
-/*! @brief Keeps what a follower does, for a test to read and to deliver. */
-class RecordingOutlet final : public Outlet
+/*! @brief Records the requests, messages and configurations of a follower. */
+class RecordingDelegate final : public FollowerDelegate
 {
 public:
-    store::RequestId ask(store::Request request) override
+    store::RequestId sendToPlatform(store::Request request) override
     {
-        asked.emplace_back(store::RequestId{++m_lastRequest}, std::move(request));
+        requests.emplace_back(store::RequestId{++m_lastRequest}, std::move(request));
         return {m_lastRequest};
     }
 
-    void send(const Peer &peer, PeerNews news) override
+    void send(const Peer &peer, PeerPayload message) override
     {
-        sent.emplace_back(peer, std::move(news));
+        sent.emplace_back(peer, std::move(message));
     }
 
     [[nodiscard]] std::vector<Peer> peers() const override
@@ -41,7 +41,7 @@
         return known;
     }
 
-    void putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId & /*bringer*/) override
+    void putInForce(const std::uint64_t version, const std::shared_ptr<const manifest::Manifest> &manifest, const DaemonId & /*source*/) override
     {
         inForce.push_back(version);
         slots = manifest->services().front().slots;
@@ -52,8 +52,8 @@
         counted.emplace_back(what);
     }
 
-    std::deque<std::pair<store::RequestId, store::Request>> asked;
-    std::deque<std::pair<Peer, PeerNews>> sent;
+    std::deque<std::pair<store::RequestId, store::Request>> requests;
+    std::deque<std::pair<Peer, PeerPayload>> sent;
     std::vector<Peer> known;
     std::vector<std::uint64_t> inForce;
     std::vector<std::string> counted;
@@ -65,16 +65,16 @@
 
 const store::Outcome down = tl::unexpected{Error{ErrorCode::unavailable, "down"}};
 
-/*! @brief One follower with a platform that can be down. */
+/*! @brief Follower with a platform that can be down. */
 struct Fixture
 {
     explicit Fixture(const std::uint64_t seed = 1)
         : random{seed}
-        , follower{outlet, random, FollowerOptions{.hasPlatform = true, .endpoint = "tcp://self"}}
+        , follower{delegate, random, FollowerOptions{.hasPlatform = true, .endpoint = "tcp://self"}}
     {
     }
 
-    // Lets time pass in small steps; the platform answers at once.
+    // Advances the clock in small steps; the platform answers at once, or with an error if `store` is null.
     void run(const Duration span, standin::PlatformStore *const store)
     {
         constexpr std::chrono::milliseconds step{50};
@@ -87,28 +87,28 @@
 
     void answerAll(standin::PlatformStore *const store)
     {
-        while (!outlet.asked.empty()) {
-            const auto [id, request] = outlet.asked.front();
-            outlet.asked.pop_front();
+        while (!delegate.requests.empty()) {
+            const auto [id, request] = delegate.requests.front();
+            delegate.requests.pop_front();
             CHECK(follower.handleOutcome(id, store == nullptr ? down : store->apply(request), clock.steadyNow()));
         }
     }
 
-    void hear(const std::uint64_t version, const QByteArray &manifest)
+    void receiveAdvert(const std::uint64_t version, const QByteArray &manifest)
     {
         follower.handleAdvert({"peer"}, {.version = version, .hash = contentHash(manifest), .endpoint = "tcp://peer"}, clock.steadyNow());
     }
 
     [[nodiscard]] std::size_t bodyRequests() const
     {
-        return static_cast<std::size_t>(std::count_if(outlet.sent.begin(), outlet.sent.end(), [](const auto &message) {
+        return static_cast<std::size_t>(std::count_if(delegate.sent.begin(), delegate.sent.end(), [](const auto &message) {
             return std::holds_alternative<BodyRequest>(message.second);
         }));
     }
 
     fakes::ManualClock clock;
     SeededRandom random;
-    RecordingOutlet outlet;
+    RecordingDelegate delegate;
     Follower follower;
 };
 
@@ -119,136 +119,136 @@
     request.manifest = manifest;
     request.id = "submission-" + std::to_string(base);
     Submission submission{request};
-    while (submission.take(store.apply(submission.request())) != SubmissionStep::finished) { }
+    while (submission.handleOutcome(store.apply(submission.request())) != SubmissionStep::finished) { }
     REQUIRE(submission.result().end == SubmissionEnd::accepted);
 }
 
 } // namespace
 
-TEST_CASE("an accepted configuration is found by the poll and fetched from the store")
+TEST_CASE("an accepted configuration is discovered by polling and fetched from the store")
 {
     standin::PlatformStore store;
     Fixture daemon;
     accept(store, 0, makeManifest(3));
     daemon.run(std::chrono::seconds{4}, &store);
-    CHECK(daemon.outlet.inForce == std::vector<std::uint64_t>{1});
-    CHECK(daemon.outlet.slots == 3);
+    CHECK(daemon.delegate.inForce == std::vector<std::uint64_t>{1});
+    CHECK(daemon.delegate.slots == 3);
 }
 
-TEST_CASE("a daemon that starts while the platform is down takes the configuration from a peer")
+TEST_CASE("a daemon that starts while the platform is down gets the configuration from a peer")
 {
-    // After a rack failure with the store down, the new VMs refuse every call, since they have no configuration, although
-    // all their neighbours do.
+    // If VMs that are started after a rack failure while the store is down could not get the configuration from their
+    // peers, they would refuse every call.
     Fixture daemon;
-    daemon.outlet.known = {{.id = {"peer"}, .endpoint = "tcp://peer"}};
+    daemon.delegate.known = {{.id = {"peer"}, .endpoint = "tcp://peer"}};
     daemon.run(std::chrono::seconds{2}, nullptr);
-    REQUIRE(!daemon.outlet.sent.empty());
-    CHECK(std::get<Advert>(daemon.outlet.sent.front().second).version == 0);
-    daemon.hear(7, makeManifest(5));
+    REQUIRE(!daemon.delegate.sent.empty());
+    CHECK(std::get<Advert>(daemon.delegate.sent.front().second).version == 0);
+    daemon.receiveAdvert(7, makeManifest(5));
     CHECK(daemon.bodyRequests() == 1);
     daemon.follower.handleBodyReply({"peer"}, {.hash = contentHash(makeManifest(5)), .manifest = makeManifest(5)}, daemon.clock.steadyNow());
-    CHECK(daemon.outlet.inForce == std::vector<std::uint64_t>{7});
+    CHECK(daemon.delegate.inForce == std::vector<std::uint64_t>{7});
 }
 
-TEST_CASE("who lags is told what is in force, and gets the manifest on request")
+TEST_CASE("a lagging peer receives an advert at once, and the manifest on request")
 {
     standin::PlatformStore store;
     accept(store, 0, makeManifest(3));
     Fixture daemon;
     daemon.run(std::chrono::seconds{4}, &store);
-    daemon.outlet.sent.clear();
+    daemon.delegate.sent.clear();
     daemon.follower.handleAdvert({"new"}, {.version = 0, .hash = {}, .endpoint = "tcp://new"}, daemon.clock.steadyNow());
-    REQUIRE(daemon.outlet.sent.size() == 1);
-    CHECK(daemon.outlet.sent.front().first.endpoint == "tcp://new");
-    CHECK(std::get<Advert>(daemon.outlet.sent.front().second).version == 1);
+    REQUIRE(daemon.delegate.sent.size() == 1);
+    CHECK(daemon.delegate.sent.front().first.endpoint == "tcp://new");
+    CHECK(std::get<Advert>(daemon.delegate.sent.front().second).version == 1);
     daemon.follower.handleBodyRequest({"new"}, {.hash = contentHash(makeManifest(3)), .endpoint = "tcp://new"});
-    CHECK(std::get<BodyReply>(daemon.outlet.sent.back().second).manifest == makeManifest(3));
+    CHECK(std::get<BodyReply>(daemon.delegate.sent.back().second).manifest == makeManifest(3));
 }
 
-TEST_CASE("bytes of another hash are not taken")
+TEST_CASE("a manifest with a different hash is rejected")
 {
-    // A peer sends a manifest that was cut, or one of its own making. The daemon must not put it in force; it goes on to
-    // ask the store and the peers in turn until the right bytes come.
+    // A peer sends a truncated or forged manifest. The daemon must not put it in force, and must go on asking the store and
+    // the peers in turn until it gets the right bytes.
     standin::PlatformStore store;
     accept(store, 0, makeManifest(3));
     Fixture daemon;
-    daemon.hear(1, makeManifest(3));
+    daemon.receiveAdvert(1, makeManifest(3));
     daemon.follower.handleBodyReply({"peer"}, {.hash = contentHash(makeManifest(3)), .manifest = makeManifest(9)}, daemon.clock.steadyNow());
-    CHECK(daemon.outlet.inForce.empty());
-    CHECK(daemon.outlet.counted == std::vector<std::string>{"hash-mismatch"});
+    CHECK(daemon.delegate.inForce.empty());
+    CHECK(daemon.delegate.counted == std::vector<std::string>{"hash-mismatch"});
     daemon.run(std::chrono::seconds{2}, &store);
-    CHECK(daemon.outlet.inForce == std::vector<std::uint64_t>{1});
-    CHECK(daemon.outlet.slots == 3);
+    CHECK(daemon.delegate.inForce == std::vector<std::uint64_t>{1});
+    CHECK(daemon.delegate.slots == 3);
 }
 
-TEST_CASE("a peer that does not send the manifest is given up for the store, and the other way round")
+TEST_CASE("the follower turns to the store when a peer does not send the manifest, and to a peer when the store is down")
 {
     standin::PlatformStore store;
     accept(store, 0, makeManifest(3));
     Fixture silentPeer;
-    silentPeer.hear(1, makeManifest(3));
+    silentPeer.receiveAdvert(1, makeManifest(3));
     silentPeer.run(std::chrono::seconds{1}, &store);
-    CHECK(silentPeer.outlet.inForce == std::vector<std::uint64_t>{1});
+    CHECK(silentPeer.delegate.inForce == std::vector<std::uint64_t>{1});
 
     Fixture storeDown;
-    storeDown.hear(1, makeManifest(3));
+    storeDown.receiveAdvert(1, makeManifest(3));
     storeDown.run(std::chrono::seconds{4}, nullptr);
     CHECK(storeDown.bodyRequests() >= 2);
 }
 
-TEST_CASE("what is in force only rises, whatever comes late")
+TEST_CASE("the version in force never decreases when older versions arrive late")
 {
-    // A daemon that was cut off comes back and offers an old version; answers of the platform arrive out of order. A limit
-    // that an operator lowered would be raised again.
+    // A daemon returns from a partition and advertises an old version, or responses of the platform arrive out of order. If
+    // the old version were applied, a limit that an operator lowered would be raised again.
     standin::PlatformStore store;
     accept(store, 0, makeManifest(3));
     accept(store, 1, makeManifest(4));
     Fixture daemon;
     daemon.run(std::chrono::seconds{4}, &store);
-    REQUIRE(daemon.outlet.inForce == std::vector<std::uint64_t>{2});
-    daemon.hear(1, makeManifest(3));
+    REQUIRE(daemon.delegate.inForce == std::vector<std::uint64_t>{2});
+    daemon.receiveAdvert(1, makeManifest(3));
     daemon.follower.handleBodyReply({"peer"}, {.hash = contentHash(makeManifest(3)), .manifest = makeManifest(3)}, daemon.clock.steadyNow());
     daemon.run(std::chrono::seconds{10}, &store);
-    CHECK(daemon.outlet.inForce == std::vector<std::uint64_t>{2});
-    CHECK(daemon.outlet.slots == 4);
+    CHECK(daemon.delegate.inForce == std::vector<std::uint64_t>{2});
+    CHECK(daemon.delegate.slots == 4);
 }
 
-TEST_CASE("a manifest that this program does not understand is left alone, and fetched once")
+TEST_CASE("a manifest that cannot be parsed is not applied, and fetched only once")
 {
     standin::PlatformStore store;
     accept(store, 0, "{\"of\":\"a newer program\"}");
     Fixture daemon;
     daemon.run(std::chrono::seconds{20}, &store);
-    CHECK(daemon.outlet.inForce.empty());
-    CHECK(daemon.outlet.counted == std::vector<std::string>{"manifest-not-understood"});
+    CHECK(daemon.delegate.inForce.empty());
+    CHECK(daemon.delegate.counted == std::vector<std::string>{"manifest-not-understood"});
     CHECK(daemon.follower.newestKnown() == 1);
 }
 
-TEST_CASE("the fleet reads the head row at a rate that does not grow with it")
+TEST_CASE("the fleet's rate of head row reads does not grow with its size")
 {
     constexpr std::size_t daemons = 300;
     constexpr std::chrono::seconds span{60};
     Fixture daemon;
-    daemon.outlet.known.resize(daemons - 1);
+    daemon.delegate.known.resize(daemons - 1);
     standin::PlatformStore store;
     std::size_t reads = 0;
     for (Duration passed{}; passed < span; passed += std::chrono::milliseconds{50}) {
         daemon.clock.advance(std::chrono::milliseconds{50});
         daemon.follower.tick(daemon.clock.steadyNow());
-        reads += daemon.outlet.asked.size();
+        reads += daemon.delegate.requests.size();
         daemon.answerAll(&store);
     }
     CHECK(reads * daemons / span.count() <= 20);
 }
 
-TEST_CASE("a platform that is down is asked less and less, and not for ever less")
+TEST_CASE("polls of an unavailable platform back off up to a maximum interval")
 {
     Fixture daemon;
     std::size_t reads = 0;
     for (int step = 0; step < 20 * 300; ++step) {
         daemon.clock.advance(std::chrono::milliseconds{50});
         daemon.follower.tick(daemon.clock.steadyNow());
-        reads += daemon.outlet.asked.size();
+        reads += daemon.delegate.requests.size();
         daemon.answerAll(nullptr);
     }
     CHECK(reads >= 10);
--- a/test/egretlatch/decision/serving_handler.cpp
+++ b/test/egretlatch/decision/serving_handler.cpp
@@ -16,8 +16,8 @@
 {
 
 constexpr std::uint64_t seed = 1;
-constexpr Incarnation selfLife{100};
-constexpr Incarnation peerLife{200};
+constexpr Incarnation selfIncarnation{100};
+constexpr Incarnation peerIncarnation{200};
 
 [[nodiscard]] std::shared_ptr<const manifest::Manifest> rosterManifest()
 {
@@ -35,7 +35,7 @@
 {
     membership::Member self;
     self.id = {"serving"};
-    self.incarnation = selfLife;
+    self.incarnation = selfIncarnation;
     CoreBuilder builder{clock, random, metrics};
     builder.setSelf(self);
     return builder;
@@ -45,7 +45,7 @@
 {
     protocol::CallRequest request;
     request.call = {number};
-    request.receiver = selfLife;
+    request.receiver = selfIncarnation;
     request.service = "roster";
     request.kind = "read";
     request.remaining = remaining;
@@ -60,8 +60,8 @@
     });
 }
 
-// Offers three calls to a server with one slot, the second with more time than the others, lets their time pass and counts
-// the answers.
+// Offers three calls to a server with one slot, the second with a longer deadline than the others, advances the time past the
+// short deadlines and counts the answers.
 [[nodiscard]] std::ptrdiff_t answersToExpired(std::unique_ptr<admission::Gate> gate)
 {
     constexpr std::chrono::milliseconds shortTime{100};
@@ -76,23 +76,23 @@
     std::uint64_t number = 0;
     for (const std::chrono::milliseconds remaining : {shortTime, longTime, shortTime}) {
         ++number;
-        answers += countAnswers(core->handle(PeerMessage{{.sender = {"entry"}, .incarnation = peerLife, .message = callOf(number, remaining)}}));
+        answers += countAnswers(core->handle(PeerMessage{{.sender = {"entry"}, .incarnation = peerIncarnation, .message = callOf(number, remaining)}}));
     }
     clock.advance(shortTime);
     answers += countAnswers(core->handle(Tick{}));
     return answers;
 }
 
-// What a daemon says of a call that is meant for its earlier life.
-[[nodiscard]] Verdict verdictOnStranger(const Delivery delivery)
+// Returns the verdict of a daemon on a call meant for its previous incarnation.
+[[nodiscard]] Verdict verdictOnWrongIncarnation(const Delivery delivery)
 {
     fakes::ManualClock clock;
     SeededRandom random{seed};
     fakes::CountingMetrics metrics;
     const std::unique_ptr<Core> core = servingDaemon(clock, random, metrics).setDelivery(delivery).build();
     protocol::CallRequest request = callOf(1, std::chrono::milliseconds{100});
-    request.receiver = Incarnation{selfLife.value - 1};
-    for (const Action &action : core->handle(PeerMessage{.envelope = {.sender = {"entry"}, .incarnation = peerLife, .message = request}})) {
+    request.receiver = Incarnation{selfIncarnation.value - 1};
+    for (const Action &action : core->handle(PeerMessage{.envelope = {.sender = {"entry"}, .incarnation = peerIncarnation, .message = request}})) {
         const auto *const send = std::get_if<SendToPeer>(&action);
         if (send != nullptr && std::holds_alternative<protocol::CallAnswer>(send->message)) {
             return std::get<protocol::CallAnswer>(send->message).verdict;
@@ -104,18 +104,17 @@
 
 } // namespace
 
-TEST_CASE("a call that only the wrong life of a daemon got has not run, so that its caller may be served elsewhere")
+TEST_CASE("a call for a previous incarnation has not run if a message reaches only one incarnation")
 {
-    CHECK((verdictOnStranger(Delivery::oneLife) == Verdict::notRun));
-    CHECK((verdictOnStranger(Delivery::severalLives) == Verdict::mayHaveRun));
+    CHECK((verdictOnWrongIncarnation(Delivery::oneIncarnation) == Verdict::notRun));
+    CHECK((verdictOnWrongIncarnation(Delivery::severalIncarnations) == Verdict::mayHaveRun));
 }
 
-TEST_CASE("calls whose deadline passes together are each answered once")
+TEST_CASE("calls that expire at the same time are each answered once")
 {
-    // A daemon ends in the middle of a surge and takes its backend server out of the mesh. A call that runs and one that
-    // waits pass their deadlines together, with a call between them that has time left. Giving up the one that runs frees
-    // its slot, the gate starts the one between, finds the next expired and refuses it; then the daemon gives it up
-    // though it is gone.
+    // Guards against a daemon that crashes during a surge and takes its backend server out of the mesh. A running and a waiting
+    // call expire at the same time, with an unexpired call queued between them. Abandoning the running one frees its slot; the
+    // gate starts the one between, finds the next expired and refuses it; then the daemon abandoned the removed call again.
     constexpr std::size_t queueCapacity = 10;
     constexpr std::ptrdiff_t expired = 2;
 
--- a/test/egretlatch/membership/gossip.cpp
+++ b/test/egretlatch/membership/gossip.cpp
@@ -18,25 +18,25 @@
 
 constexpr std::uint64_t seed = 20261202;
 
-void gather(GossipNetwork &network)
+void waitForConvergence(GossipNetwork &network)
 {
     INFO("seed ", seed);
-    const bool isGathered = network
-                                .runUntil(
-                                    [&network] {
-                                        return network.isWhole();
-                                    },
-                                    60s)
-                                .has_value();
-    REQUIRE(isGathered);
+    const bool isConverged = network
+                                 .runUntil(
+                                     [&network] {
+                                         return network.hasConverged();
+                                     },
+                                     60s)
+                                 .has_value();
+    REQUIRE(isConverged);
     network.run(15s);
 }
 
-// Whether a daemon still holds a member for one that takes work; a suspect gets none either.
-[[nodiscard]] bool sendsWorkTo(const GossipNetwork &network, const std::size_t subject)
+// Checks if any daemon still lists the member as serving and would send it work; a suspect gets none.
+[[nodiscard]] bool isServingForAny(const GossipNetwork &network, const std::size_t subject)
 {
     for (std::size_t observer = 0; observer < network.size(); ++observer) {
-        if (observer != subject && network.seen(observer, subject) == MemberState::serving) {
+        if (observer != subject && network.observedState(observer, subject) == MemberState::serving) {
             return true;
         }
     }
@@ -51,48 +51,48 @@
 
 } // namespace
 
-TEST_CASE("daemons that start together, knowing three of them, find one another")
+TEST_CASE("daemons that start together with three contacts discover each other")
 {
     GossipNetwork network{40, seed};
-    gather(network);
-    CHECK(network.isWhole());
+    waitForConvergence(network);
+    CHECK(network.hasConverged());
 }
 
-TEST_CASE("a newcomer is known everywhere and knows everyone")
+TEST_CASE("a new daemon discovers all members and is discovered by all")
 {
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     const std::size_t newcomer = network.add();
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         15s);
     CHECK(took.has_value());
-    CHECK((network.seen(newcomer, 0) == MemberState::serving));
+    CHECK((network.observedState(newcomer, 0) == MemberState::serving));
 }
 
-TEST_CASE("a drain is known everywhere within seconds, with a third of the messages lost")
+TEST_CASE("all daemons learn of a drain within seconds with a third of the messages lost")
 {
-    // Callers are refused again and again by a backend server that is being replaced. It said that it drains, but the
-    // network loses messages, and daemons that missed the word go on sending it work.
+    // Daemons that miss the message of a draining backend server would go on sending it work, and its callers would be
+    // refused again and again while it is being replaced.
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     network.setLoss(0.3);
     setDraining(network, 7);
     const auto took = network.runUntil(
         [&network] {
-            return !sendsWorkTo(network, 7);
+            return !isServingForAny(network, 7);
         },
         5s);
     CHECK(took.has_value());
 }
 
-TEST_CASE("a dead daemon is a suspect everywhere within seconds and gone soon after")
+TEST_CASE("a failed daemon is suspected by all within seconds and gone soon after")
 {
-    // Calls time out at one server of several. Its VM failed without a word, and nobody may go on sending work there.
+    // A VM fails without an announcement. While other daemons send it work, calls time out at one server of several.
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     network.kill(5);
     const auto suspected = network.runUntil(
         [&network] {
@@ -108,10 +108,10 @@
     CHECK(aged.has_value());
 }
 
-TEST_CASE("a daemon that is told of others in the middle of its search asks them at once")
+TEST_CASE("an isolated daemon pings new contacts at once")
 {
-    // A VM was added and its daemon got callers before it knew a single server: the store named the others 0.1 s after its
-    // start, and it looked at the list at the next second.
+    // A new daemon received calls before it knew any server: the store returned contacts 0.1 s after its start, but it
+    // pinged them only at the next full second.
     egretlatch::membership::Member self;
     self.id = {"fresh"};
     self.incarnation = {1};
@@ -129,12 +129,12 @@
     CHECK(gossip.takeEffects().messages.size() == 1);
 }
 
-TEST_CASE("a newcomer that dies at once is found dead within seconds")
+TEST_CASE("a new daemon that fails right after joining is suspected within seconds")
 {
-    // A VM comes up, is known everywhere and fails a second later. Each daemon chose the order of its probes before it
-    // came, and would come to it only in its next round.
+    // A VM joins, is known everywhere and fails within seconds. Each daemon chose its probe order before the VM joined, and
+    // would otherwise probe it only in the next round.
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     const std::size_t newcomer = network.add();
     network.run(3s);
     CHECK(network.allSee(newcomer, MemberState::serving));
@@ -147,12 +147,12 @@
     CHECK(suspected.has_value());
 }
 
-TEST_CASE("a rack that fails at once leaves the rest whole")
+TEST_CASE("a rack that fails at once is detected, and the remaining daemons still see each other as serving")
 {
-    // Eight of forty VMs go with a switch. The rest must find all eight dead, and must not suspect one another although
-    // many of their helpers for indirect probes are among the dead.
+    // Eight of forty VMs fail with a switch. The others must detect all eight, and must not suspect each other although many
+    // of the members asked for indirect probes are among the failed ones.
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     for (std::size_t index = 8; index < 16; ++index) {
         network.kill(index);
     }
@@ -166,59 +166,59 @@
         },
         40s);
     CHECK(found.has_value());
-    CHECK(network.isWhole());
+    CHECK(network.hasConverged());
 }
 
-TEST_CASE("a live daemon refutes a doubt that one lossy link raised")
+TEST_CASE("a live daemon refutes a suspicion that was raised over one lossy link")
 {
-    // A server vanishes from the routing of the whole fleet because one daemon has a bad link to it. The doubt spreads,
-    // the suspect hears of it, raises its revision, and is served again.
+    // One daemon with a bad link to a server would otherwise remove it from the routing of the whole fleet. The suspicion is
+    // disseminated, the suspect receives it, raises its revision and gets work again.
     GossipNetwork network{20, seed};
-    gather(network);
+    waitForConvergence(network);
     const auto *const member = network.node(0).roster.find({"d009"});
-    egretlatch::membership::GossipMessage doubt;
-    doubt.members = {network.node(0).roster.self()};
-    doubt.suspicions = {{.id = member->id, .incarnation = member->incarnation, .revision = member->revision}};
-    network.node(1).gossip.handle({"d000"}, {1}, doubt, network.now());
-    CHECK((network.seen(1, 9) == MemberState::suspect));
+    egretlatch::membership::GossipMessage message;
+    message.members = {network.node(0).roster.self()};
+    message.suspicions = {{.id = member->id, .incarnation = member->incarnation, .revision = member->revision}};
+    network.node(1).gossip.handle({"d000"}, {1}, message, network.now());
+    CHECK((network.observedState(1, 9) == MemberState::suspect));
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         15s);
     CHECK(took.has_value());
     CHECK(network.node(9).roster.self().revision > 0);
 }
 
-TEST_CASE("nobody dies of losing a third of all messages")
+TEST_CASE("no live daemon stays suspect or gone after a third of all messages was lost")
 {
-    // With a third of all messages lost many probes fail. Daemons are suspected and refute; none may be left for gone.
+    // With a third of all messages lost, many probes fail. Daemons are suspected and refute; none may remain gone.
     GossipNetwork network{30, seed};
-    gather(network);
+    waitForConvergence(network);
     network.setLoss(0.3);
     network.run(60s);
     network.setLoss(0);
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         20s);
     CHECK(took.has_value());
 }
 
-TEST_CASE("a paused daemon that wakes learns that it was suspected, and refutes")
+TEST_CASE("a paused daemon that resumes learns that it was suspected, and refutes")
 {
-    // A VM is paused for half a minute and then reads what was sent meanwhile. The fleet holds it for gone and sends it
-    // no work, while it believes that all is well; it must also not suspect others for the answers that it slept through.
+    // A VM is paused for half a minute and then reads the messages sent meanwhile. The fleet lists it as gone and sends it no
+    // work, which it must learn. It must also not suspect others whose acks it did not read during the pause.
     GossipNetwork network{20, seed};
-    gather(network);
+    waitForConvergence(network);
     network.setRunning(4, false);
     network.run(30s);
     CHECK(network.allSee(4, MemberState::gone));
     network.setRunning(4, true);
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         10s);
     CHECK(took.has_value());
@@ -226,71 +226,72 @@
     CHECK(network.node(4).metrics.value("membership/probe-failed") <= 1);
 }
 
-TEST_CASE("a VM replaced under its id takes the place of its earlier life")
+TEST_CASE("a VM replaced under the same id overrides its earlier incarnation")
 {
-    // A VM is replaced while the fleet still believes in the old one. The new life starts at revision zero and must
-    // overrule what is known; the old one, if it was only paused, must not overrule the new one when it wakes.
+    // A VM is replaced while the fleet still lists the old one. The new incarnation starts at revision zero and must override
+    // the known entry; the old one, if it was only paused, must not override the new one when it resumes.
     GossipNetwork network{20, seed};
-    gather(network);
+    waitForConvergence(network);
     setDraining(network, 6);
     network.run(5s);
-    const egretlatch::membership::Member oldLife = network.node(6).roster.self();
+    const egretlatch::membership::Member oldIncarnation = network.node(6).roster.self();
     network.kill(6);
     network.replace(6);
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         15s);
     CHECK(took.has_value());
     egretlatch::membership::GossipMessage late;
-    late.members = {oldLife};
-    network.node(3).gossip.handle(oldLife.id, oldLife.incarnation, late, network.now());
-    CHECK((network.seen(3, 6) == MemberState::serving));
+    late.members = {oldIncarnation};
+    network.node(3).gossip.handle(oldIncarnation.id, oldIncarnation.incarnation, late, network.now());
+    CHECK((network.observedState(3, 6) == MemberState::serving));
 }
 
-TEST_CASE("a daemon that starts again with its clock set back is believed though its number is below that of its earlier life")
+TEST_CASE("a daemon restarted with its clock set back raises its incarnation above the earlier one")
 {
     for (const Duration away : {Duration{200ms}, Duration{30s}}) {
         GossipNetwork network{20, seed};
-        gather(network);
+        waitForConvergence(network);
         network.kill(6);
         network.run(away);
         network.startWithClockSetBack(6);
         const auto took = network.runUntil(
             [&network] {
-                return network.isWhole() && network.node(3).roster.find(network.node(6).first.id)->incarnation == network.node(6).roster.self().incarnation;
+                return network.hasConverged()
+                    && network.node(3).roster.find(network.node(6).initialSelf.id)->incarnation == network.node(6).roster.self().incarnation;
             },
             15s);
         CHECK(took.has_value());
-        CHECK(network.node(6).roster.self().incarnation > network.node(6).first.incarnation);
+        CHECK(network.node(6).roster.self().incarnation > network.node(6).initialSelf.incarnation);
     }
 }
 
-TEST_CASE("regions that were cut off from each other serve inside and meet again without a storm")
+TEST_CASE("partitioned regions keep serving and merge again within the byte limit")
 {
-    // Two regions lose each other for three minutes. Each must stay whole for itself. After the cut both hold each other
-    // for gone at the revisions still in force; they must meet again on their own, within the bytes a daemon may send.
+    // Two regions are partitioned for three minutes. Members within each must keep seeing each other as serving. Afterwards
+    // each region lists the other as gone at the current revisions; they must merge without help, within the byte limit.
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     const auto isEast = [](const std::size_t index) {
         return index % 2 == 0;
     };
-    network.setCut([isEast](const std::size_t from, const std::size_t to) {
+    network.setPartition([isEast](const std::size_t from, const std::size_t to) {
         return isEast(from) != isEast(to);
     });
     network.run(60s);
     for (std::size_t index = 0; index < network.size(); ++index) {
-        CHECK((network.seen(index, (index + 2) % network.size()) == MemberState::serving));
-        CHECK((network.seen(index, (index + 1) % network.size()) == MemberState::gone));
+        CHECK((network.observedState(index, (index + 2) % network.size()) == MemberState::serving));
+        CHECK((network.observedState(index, (index + 1) % network.size()) == MemberState::gone));
     }
     network.run(120s);
-    network.setCut(nullptr);
+    network.setPartition(nullptr);
     network.resetCounts();
     const egretlatch::SteadyTime healed = network.now();
     const auto took = network.runUntil(
         [&network] {
-            return network.isWhole();
+            return network.hasConverged();
         },
         60s);
     REQUIRE(took.has_value());
@@ -299,10 +300,10 @@
     CHECK(static_cast<double>(network.bytesSent()) / static_cast<double>(network.size()) / seconds < bytesAllowed);
 }
 
-TEST_CASE("a rumour reaches everyone once, and an older version replaces nothing")
+TEST_CASE("each daemon receives a rumour once, and an older version does not replace it")
 {
     GossipNetwork network{30, seed};
-    gather(network);
+    waitForConvergence(network);
     const Rumour head{.key = {.kind = RumourKind::configuration, .key = "head"}, .version = 8, .payload = "hash", .remaining = {}};
     network.node(2).gossip.spread(head, network.now());
     network.run(10s);
@@ -317,12 +318,12 @@
     }
 }
 
-TEST_CASE("a rumour ends with its time, also for those that hear of it late")
+TEST_CASE("a rumour expires at its original time on daemons that receive it late")
 {
-    // A request that crashed servers stays refused although its quarantine has passed: a daemon that hears of it late
-    // would start its time anew and pass it on, and so it would go round for ever.
+    // If a daemon that receives a rumour late restarted its time to live and passed it on, the rumour would circulate for
+    // ever, and a request would be refused after its quarantine has ended.
     GossipNetwork network{20, seed};
-    gather(network);
+    waitForConvergence(network);
     const Rumour quarantine{.key = {.kind = RumourKind::quarantine, .key = "fingerprint"}, .version = 1, .payload = {}, .remaining = 8s};
     network.node(2).gossip.spread(quarantine, network.now());
     network.run(7s);
@@ -335,16 +336,16 @@
     }
 }
 
-TEST_CASE("a daemon that starts again hears within a second that its server left, whatever else is told")
+TEST_CASE("a restarted daemon learns of its server's departure within a second despite many other rumours")
 {
     GossipNetwork network{40, seed};
-    gather(network);
+    waitForConvergence(network);
     constexpr std::size_t leaving = 5;
     for (int number = 0; number < 100; ++number) {
         const Rumour other{.key = {.kind = RumourKind::departure, .key = fmt::format("c{}", number)}, .version = 1, .payload = {}, .remaining = 120s};
         network.node(7).gossip.spread(other, network.now());
     }
-    const std::string key = egretlatch::membership::keyOf(network.node(leaving).first.id, "first");
+    const std::string key = egretlatch::membership::daemonRumourKey(network.node(leaving).initialSelf.id, "first");
     const Rumour departure{.key = {.kind = RumourKind::departure, .key = key}, .version = 1, .payload = {}, .remaining = 120s};
     network.node(leaving).gossip.spread(departure, network.now());
     network.run(10s);
@@ -355,13 +356,13 @@
     CHECK(network.runUntil(knows, 1s).has_value());
 }
 
-TEST_CASE("the bytes that a daemon sends at rest do not grow with the fleet")
+TEST_CASE("the bytes that an idle daemon sends do not grow with the fleet")
 {
     constexpr std::size_t small = 10;
     constexpr std::size_t large = 80;
     const auto bytesAtRest = [](const std::size_t count) {
         GossipNetwork network{count, seed};
-        gather(network);
+        waitForConvergence(network);
         network.resetCounts();
         network.run(60s);
         return static_cast<double>(network.bytesSent()) / static_cast<double>(count) / 60;
--- a/test/egretlatch/membership/gossip_figures.cpp
+++ b/test/egretlatch/membership/gossip_figures.cpp
@@ -20,7 +20,7 @@
     return std::chrono::duration<double>{span}.count();
 }
 
-// The simulated times after which each running member holds another for `state`, sorted.
+// Returns the simulated times in seconds after which each running member sees the subject in `state`, sorted.
 [[nodiscard]] std::vector<double> spreadTimes(GossipNetwork &network, const std::size_t subject, const MemberState state)
 {
     std::vector<double> times(network.size(), -1);
@@ -30,7 +30,7 @@
             bool areAll = true;
             for (std::size_t observer = 0; observer < network.size(); ++observer) {
                 const bool isObserver = network.node(observer).isRunning && observer != subject;
-                if (isObserver && times[observer] < 0 && network.seen(observer, subject) == state) {
+                if (isObserver && times[observer] < 0 && network.observedState(observer, subject) == state) {
                     times[observer] = seconds(network.now() - begin);
                 }
                 areAll = areAll && (!isObserver || times[observer] >= 0);
@@ -58,7 +58,7 @@
     REQUIRE(network
                 .runUntil(
                     [&network] {
-                        return network.isWhole();
+                        return network.hasConverged();
                     },
                     120s)
                 .has_value());
@@ -80,18 +80,18 @@
     return figures;
 }
 
-[[nodiscard]] double middle(const std::vector<double> &sorted)
+[[nodiscard]] double median(const std::vector<double> &sorted)
 {
     return sorted[sorted.size() / 2];
 }
 
 } // namespace
 
-TEST_CASE("figures of the spread in a simulated network, and their bounds")
+TEST_CASE("dissemination times and bytes in a simulated network stay within their bounds")
 {
-    // In simulated time, so the bounds hold on any machine. A larger fleet is asked for by the environment.
-    const char *const asked = std::getenv("EGRETLATCH_GOSSIP_DAEMONS");
-    const std::size_t count = asked == nullptr ? 60 : std::strtoul(asked, nullptr, 10);
+    // Measured in simulated time, so the bounds hold on any machine. The environment variable sets a larger fleet.
+    const char *const setting = std::getenv("EGRETLATCH_GOSSIP_DAEMONS");
+    const std::size_t count = setting == nullptr ? 60 : std::strtoul(setting, nullptr, 10);
     for (const double loss : {0.0, 0.3}) {
         const Figures figures = measure(count, loss);
         MESSAGE(count,
@@ -100,15 +100,15 @@
                 ": bytes/s at rest ",
                 figures.bytesAtRest,
                 "; p50 and max in s: join ",
-                middle(figures.join),
+                median(figures.join),
                 " ",
                 figures.join.back(),
                 ", drain ",
-                middle(figures.drain),
+                median(figures.drain),
                 " ",
                 figures.drain.back(),
                 ", death ",
-                middle(figures.death),
+                median(figures.death),
                 " ",
                 figures.death.back());
         CHECK(figures.bytesAtRest < 27'000);
