--- a/test/egretlatch/net/event_dispatcher.cpp
+++ b/test/egretlatch/net/event_dispatcher.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-/*! @brief A thread whose events the dispatcher hands out. */
+/*! @brief Thread that runs on an EventDispatcher. */
 class DispatchedThread
 {
 public:
@@ -30,7 +30,7 @@
         m_thread.setEventDispatcher(new net::EventDispatcher);
     }
 
-    /*! @brief Runs on the thread, which then hands out events until quit() is called. */
+    /*! @brief Runs the function on the thread, which then processes events until quit() is called. */
     void run(std::function<void()> body)
     {
         QObject::connect(
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("timers fire in the order of their times, and a stopped one never")
+TEST_CASE("timers fire in the order of their due times, and a stopped timer never fires")
 {
     DispatchedThread thread;
     std::vector<int> fired;
@@ -83,7 +83,7 @@
     CHECK(fired == std::vector<int>{1, 2, 3});
 }
 
-TEST_CASE("a repeated timer goes on until it is stopped")
+TEST_CASE("a repeating timer fires until it is stopped")
 {
     DispatchedThread thread;
     int count = 0;
@@ -100,23 +100,23 @@
     CHECK(count == 5);
 }
 
-TEST_CASE("notifiers and watched descriptors are told of bytes, and one that is taken away is not")
+TEST_CASE("socket notifiers and watched descriptors are activated by incoming bytes, and removed ones are not")
 {
     DispatchedThread thread;
     int pair[2];
     REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, pair) == 0);
     int other[2];
     REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, other) == 0);
-    std::vector<std::string> told;
+    std::vector<std::string> handled;
     thread.run([&] {
         auto *const poller = new net::Poller;
         auto *const notifier = new QSocketNotifier{other[0], QSocketNotifier::Read};
         poller->add(pair[0], {.read = true, .write = false}, [&, poller, notifier](const std::uint32_t events) {
             CHECK((events & EPOLLIN) != 0U);
-            told.emplace_back("watched");
+            handled.emplace_back("watched");
             poller->remove(pair[0]);
             QObject::connect(notifier, &QSocketNotifier::activated, notifier, [&, poller, notifier] {
-                told.emplace_back("notified");
+                handled.emplace_back("notified");
                 delete notifier;
                 delete poller;
                 thread.quit();
@@ -125,30 +125,30 @@
         });
         REQUIRE(::write(pair[1], "a", 1) == 1);
     });
-    CHECK(told == std::vector<std::string>{"watched", "notified"});
+    CHECK(handled == std::vector<std::string>{"watched", "notified"});
     for (const int descriptor : {pair[0], pair[1], other[0], other[1]}) {
         ::close(descriptor);
     }
 }
 
-TEST_CASE("what another thread posts wakes a loop that has nothing to wait for")
+TEST_CASE("an event posted by another thread wakes a loop without timers and descriptors")
 {
     DispatchedThread thread;
-    bool hasCome = false;
+    bool hasArrived = false;
     QThread *poster = nullptr;
     thread.run([&] {
         auto *const receiver = new QObject;
         poster = QThread::create([&, receiver] {
             QThread::msleep(20);
             QMetaObject::invokeMethod(receiver, [&, receiver] {
-                hasCome = true;
+                hasArrived = true;
                 delete receiver;
                 thread.quit();
             });
         });
         poster->start();
     });
-    CHECK(hasCome);
+    CHECK(hasArrived);
     CHECK(poster->wait(10'000));
     delete poster;
 }
--- a/test/egretlatch/peer/peer_exchange.cpp
+++ b/test/egretlatch/peer/peer_exchange.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 
-// Only keeps a broken run from hanging.
-constexpr int longestSilenceMs = 30'000;
+// Prevents a failing test from hanging.
+constexpr int pollTimeoutMs = 30'000;
 
 [[nodiscard]] std::string freeEndpoint()
 {
@@ -27,7 +27,7 @@
     return fmt::format("tcp://127.0.0.1:{}", server.serverPort());
 }
 
-// A daemon that answers each request at once and sends the next one with each answer.
+// Daemon that answers each request at once and sends the next request on each answer.
 struct Daemon
 {
     explicit Daemon(const std::string &id)
@@ -35,14 +35,14 @@
                    {1},
                    std::nullopt,
                    [this](const decision::Event &event) {
-                       take(std::get<decision::PeerMessage>(event).envelope);
+                       handleMessage(std::get<decision::PeerMessage>(event).envelope);
                    },
                    metrics}
         , endpoint{freeEndpoint()}
     {
         REQUIRE(exchange.start(endpoint).has_value());
-        // The first call looks at all sockets, the next ones do so a second later.
-        exchange.work();
+        // The first call reads all sockets; a later one does so only after a second.
+        exchange.processSockets();
     }
 
     void request(const std::string &to, const std::string &at)
@@ -53,7 +53,7 @@
         exchange.send({.to = {to}, .endpoint = at, .message = request});
     }
 
-    void take(const protocol::Envelope &envelope)
+    void handleMessage(const protocol::Envelope &envelope)
     {
         if (const auto *const request = std::get_if<protocol::CallRequest>(&envelope.message)) {
             protocol::CallAnswer answer;
@@ -77,40 +77,40 @@
     int answers{};
 };
 
-// Works for whoever has something to do; nothing that came may wait for a later reason to look.
-[[nodiscard]] bool workOnce(Daemon &one, Daemon &two)
+// Processes the exchanges whose descriptors are readable. Everything received must be signalled, not found by a later read.
+[[nodiscard]] bool processOnce(Daemon &one, Daemon &two)
 {
     std::array<pollfd, 2> watched{
         {{.fd = one.exchange.descriptor(), .events = POLLIN, .revents = 0}, {.fd = two.exchange.descriptor(), .events = POLLIN, .revents = 0}}};
-    if (::poll(watched.data(), watched.size(), longestSilenceMs) <= 0) {
+    if (::poll(watched.data(), watched.size(), pollTimeoutMs) <= 0) {
         return false;
     }
     if (watched[0].revents != 0) {
-        one.exchange.work();
+        one.exchange.processSockets();
     }
     if (watched[1].revents != 0) {
-        two.exchange.work();
+        two.exchange.processSockets();
     }
     return true;
 }
 
 } // namespace
 
-TEST_CASE("each message that comes makes the descriptor readable, or is read by the settling after a send")
+TEST_CASE("each received message makes the descriptor readable, or is read by processPending() after a send")
 {
-    // The first requests on a new link took up to a second: what ZeroMQ had to say of the link lay unread until the next
-    // round through all sockets, as its descriptor had never been made to tell.
+    // Guards against a delay of up to a second for the first requests on a new link: the ZeroMQ events of the link stayed
+    // unread until the next pass over all sockets, as its descriptor never signalled them.
     Daemon one{"one"};
     Daemon two{"two"};
     one.other = two.endpoint;
     two.other = one.endpoint;
     one.request("two", two.endpoint);
     two.request("one", one.endpoint);
-    one.exchange.settle();
-    two.exchange.settle();
+    one.exchange.processPending();
+    two.exchange.processPending();
 
     while (one.answers < 300 || two.answers < 300) {
-        REQUIRE(workOnce(one, two));
+        REQUIRE(processOnce(one, two));
     }
 
     CHECK(one.answers == 300);
--- a/test/egretlatch/protocol/codec.cpp
+++ b/test/egretlatch/protocol/codec.cpp
@@ -14,7 +14,7 @@
     SeededRandom random{3};
     CallRequest request;
     request.call = {7};
-    request.root = UuidMint{random}.mint(WallTime{std::chrono::milliseconds{1'790'000'000'000}});
+    request.root = UuidGenerator{random}.generate(WallTime{std::chrono::milliseconds{1'790'000'000'000}});
     request.service = "launch-log";
     request.kind = "launch-entry";
     request.method = "POST";
@@ -42,7 +42,7 @@
     answer.headers = {{.name = "Retry-After", .value = "1"}};
     answer.body = "body";
     account::Refusal refusal;
-    refusal.id = UuidMint{random}.mint(WallTime{});
+    refusal.id = UuidGenerator{random}.generate(WallTime{});
     refusal.reason = account::RefusalReason::overloadInQueue;
     refusal.rule = "the queue is full";
     refusal.figures = {{.name = "queued", .value = 12}};
@@ -53,7 +53,7 @@
         .inFlight = 3, .limit = 4, .queued = 5, .level = {.priority = 2, .fraction = 0.25}, .queueDelay = std::chrono::milliseconds{6}, .draining = true};
     answer.attemptsReturned = 1;
     answer.slotTime = std::chrono::milliseconds{15};
-    answer.pace = admission::KindPace{.kind = "launch-entry", .own = std::chrono::milliseconds{21}, .failing = 0.5};
+    answer.performance = admission::KindPerformance{.kind = "launch-entry", .ownTime = std::chrono::milliseconds{21}, .failureShare = 0.5};
     return answer;
 }
 
@@ -84,7 +84,7 @@
     for (const membership::RumourKind kind : {membership::RumourKind::configuration, membership::RumourKind::departure, membership::RumourKind::quarantine}) {
         gossip.rumours.push_back({.key = {.kind = kind, .key = "key"}, .version = 18, .payload = "payload", .remaining = std::chrono::seconds{19}});
     }
-    gossip.paces = {{.kind = "launch-entry", .own = std::chrono::milliseconds{20}, .failing = 0.25}};
+    gossip.performance = {{.kind = "launch-entry", .ownTime = std::chrono::milliseconds{20}, .failureShare = 0.25}};
     return gossip;
 }
 
@@ -101,7 +101,7 @@
 
 } // namespace
 
-TEST_CASE("each message survives the way over the wire")
+TEST_CASE("each message is unchanged after encoding and decoding")
 {
     for (const Envelope &envelope : allMessages()) {
         const Result<Envelope> decoded = decode(encode(envelope));
@@ -116,7 +116,7 @@
     CHECK(decode("\x01\x02").error().code == ErrorCode::malformed);
 }
 
-TEST_CASE("another version of the protocol is told from bad bytes")
+TEST_CASE("another protocol version is distinguished from malformed bytes")
 {
     std::string bytes = encode(allMessages().front());
     REQUIRE(bytes[0] == '\x08');
@@ -124,14 +124,14 @@
     CHECK(decode(bytes).error().code == ErrorCode::wrongVersion);
 }
 
-TEST_CASE("any bytes are decoded or refused, without more")
+TEST_CASE("arbitrary bytes are decoded or rejected without a crash")
 {
     CHECK(rc::check([](const std::string &bytes) {
         static_cast<void>(decode(bytes));
     }));
 }
 
-TEST_CASE("a damaged message is decoded or refused, without more")
+TEST_CASE("a damaged message is decoded or rejected without a crash")
 {
     CHECK(rc::check([] {
         const std::vector<Envelope> messages = allMessages();
--- a/test/egretlatch/retry/shard_grants.cpp
+++ b/test/egretlatch/retry/shard_grants.cpp
@@ -5,8 +5,8 @@
 #include <fmt/format.h>
 
 #include <egretlatch/retry/shard_grants.hpp>
+#include <fakes/in_memory_table.hpp>
 #include <fakes/manual_clock.hpp>
-#include <fakes/table.hpp>
 
 using namespace egretlatch;
 using namespace egretlatch::retry;
@@ -15,7 +15,7 @@
 namespace internal
 {
 
-// Daemons that share the shards over one table; shards go to the lowest number that is up, in turn.
+// Daemons that share the shards through one table; shards are assigned round robin to the daemons that are up.
 struct Fleet
 {
     explicit Fleet(const int size)
@@ -27,7 +27,7 @@
 
     void start(const int number)
     {
-        const KeyOwner self{.daemon = {fmt::format("d{}", number)}, .incarnation = {++lives}};
+        const KeyOwner self{.daemon = {fmt::format("d{}", number)}, .incarnation = {++lastIncarnation}};
         owners[number] = self;
         daemons[number] = std::make_unique<ShardGrants>(self, random);
     }
@@ -45,25 +45,25 @@
     void step(const int number, ShardGrants &grants)
     {
         const auto isPreferred = [this, number](const int shard) {
-            const std::size_t place = static_cast<std::size_t>(shard) % daemons.size();
-            return std::next(daemons.begin(), static_cast<std::ptrdiff_t>(place))->first == number;
+            const std::size_t index = static_cast<std::size_t>(shard) % daemons.size();
+            return std::next(daemons.begin(), static_cast<std::ptrdiff_t>(index))->first == number;
         };
         for (const store::Request &request : grants.tick(clock.wallNow(), clock.steadyNow(), isPreferred)) {
-            const store::RequestId id{++asked};
-            grants.noteAsked(id, request);
+            const store::RequestId id{++lastRequestId};
+            grants.noteRequestSent(id, request);
             const store::Outcome down = tl::unexpected{Error{ErrorCode::unavailable, "down"}};
-            static_cast<void>(grants.take(id, isDown ? down : table.ask(request), clock.steadyNow()));
+            static_cast<void>(grants.handleOutcome(id, isDown ? down : table.apply(request), clock.steadyNow()));
         }
     }
 
-    // Share of keys minted now that find a living owner that may run them.
-    [[nodiscard]] double shareServed()
+    // Returns the share of keys minted now whose owner is up and may run them.
+    [[nodiscard]] double servedShare()
     {
         constexpr int keys = 2000;
-        UuidMint mint{random};
+        UuidGenerator uuidGenerator{random};
         int served = 0;
         for (int number = 0; number < keys; ++number) {
-            const Uuid key = mint.mint(clock.wallNow());
+            const Uuid key = uuidGenerator.generate(clock.wallNow());
             const std::optional<KeyOwner> owner = daemons.begin()->second->ownerOf(key);
             for (const auto &[candidate, grants] : daemons) {
                 served += owner.has_value() && owners[candidate] == *owner && grants->owns(key) ? 1 : 0;
@@ -74,11 +74,11 @@
 
     fakes::ManualClock clock;
     SeededRandom random{9};
-    fakes::Table table;
+    fakes::InMemoryTable table;
     std::map<int, std::unique_ptr<ShardGrants>> daemons;
     std::map<int, KeyOwner> owners;
-    std::uint64_t lives{};
-    std::uint64_t asked{};
+    std::uint64_t lastIncarnation{};
+    std::uint64_t lastRequestId{};
     bool isDown{};
 };
 
@@ -86,7 +86,8 @@
 
 TEST_CASE("callers' own keys are served through an outage of the table of five minutes")
 {
-    // Launches stop being recorded while the platform's store is down: no daemon may begin a key without it.
+    // Guards against refusing requests while the platform's store is down (launches were not recorded): without a grant no
+    // daemon may start a key.
     internal::Fleet fleet{16};
     fleet.run(7min);
     const int before = fleet.table.writes();
@@ -94,7 +95,7 @@
     double least = 1;
     for (int minute = 0; minute < 5; ++minute) {
         fleet.run(1min);
-        least = std::min(least, fleet.shareServed());
+        least = std::min(least, fleet.servedShare());
     }
 
     fmt::print("grants: share of keys served in an outage of five minutes: {:.3f}\n", least);
@@ -102,22 +103,22 @@
     CHECK(fleet.table.writes() == before);
 }
 
-TEST_CASE("a lost daemon closes its own grants and no others, until they end")
+TEST_CASE("a lost daemon blocks only the keys of its own grants, until they end")
 {
     internal::Fleet fleet{16};
     fleet.run(2min);
     fleet.daemons.erase(3);
     fleet.run(1min);
-    const double after = fleet.shareServed();
+    const double after = fleet.servedShare();
     fleet.run(10min);
 
     fmt::print("grants: share of keys served a minute after one daemon of 16 is lost: {:.3f}\n", after);
     CHECK(after > 0.9);
     CHECK(after < 1);
-    CHECK(fleet.shareServed() == doctest::Approx(1.0));
+    CHECK(fleet.servedShare() == doctest::Approx(1.0));
 }
 
-TEST_CASE("a daemon that leaves hands its grants on within seconds")
+TEST_CASE("the grants of a daemon that leaves are taken over within a minute")
 {
     internal::Fleet fleet{16};
     fleet.run(2min);
@@ -126,7 +127,7 @@
     fleet.daemons.erase(3);
     fleet.run(1min);
 
-    CHECK(fleet.shareServed() == doctest::Approx(1.0));
+    CHECK(fleet.servedShare() == doctest::Approx(1.0));
 }
 
 TEST_CASE("writes to the table do not grow with the fleet")
@@ -146,7 +147,7 @@
 {
     const KeyOwner first{.daemon = {"a"}, .incarnation = {1}};
     const KeyOwner second{.daemon = {"b"}, .incarnation = {2}};
-    const ShardRow row = ShardRow{}.extend(first, 100ms).cut(80ms).extend(second, 90ms).extend(second, 200ms);
+    const ShardRow row = ShardRow{}.extend(first, 100ms).truncate(80ms).extend(second, 90ms).extend(second, 200ms);
 
     CHECK(row.find(79ms)->owner == first);
     CHECK(row.find(80ms)->owner == second);
--- a/test/egretlatch/store/http_codec.cpp
+++ b/test/egretlatch/store/http_codec.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-void checkSurvives(const Request &request)
+void checkRoundTrip(const Request &request)
 {
     const Result<Request> read = decodeRequest(encodeRequest(request));
     REQUIRE(read.has_value());
@@ -18,18 +18,18 @@
 
 } // namespace
 
-TEST_CASE("each request to the platform survives the way through HTTP")
+TEST_CASE("each request to the platform round-trips through HTTP")
 {
-    checkSurvives(TableRead{.key = "head"});
-    checkSurvives(TableScan{.prefix = "a/", .after = "a/b", .limit = 10});
-    checkSurvives(TableWrite{.conditions = {{.key = "k", .version = 3}},
-                             .writes = {{.key = "k", .value = std::string("\0\xff", 2)}, {.key = "j", .value = std::nullopt}}});
-    checkSurvives(ObjectPut{.name = "a/b c?d&e", .bytes = "bytes"});
-    checkSurvives(ObjectGet{.name = "a/b%20c"});
-    checkSurvives(ObjectList{.prefix = "a/b&c", .after = "a/b+c", .limit = 5});
+    checkRoundTrip(TableRead{.key = "head"});
+    checkRoundTrip(TableScan{.prefix = "a/", .after = "a/b", .limit = 10});
+    checkRoundTrip(TableWrite{.conditions = {{.key = "k", .version = 3}},
+                              .writes = {{.key = "k", .value = std::string("\0\xff", 2)}, {.key = "j", .value = std::nullopt}}});
+    checkRoundTrip(ObjectPut{.name = "a/b c?d&e", .bytes = "bytes"});
+    checkRoundTrip(ObjectGet{.name = "a/b%20c"});
+    checkRoundTrip(ObjectList{.prefix = "a/b&c", .after = "a/b+c", .limit = 5});
 }
 
-TEST_CASE("any bytes in a row survive the way through HTTP")
+TEST_CASE("any bytes in a row round-trip through HTTP")
 {
     CHECK(rc::check([](const std::string &value) {
         const RowsReply reply{.rows = {{.key = "k", .value = value, .version = 7}}};
@@ -39,10 +39,10 @@
     }));
 }
 
-TEST_CASE("only answers that prove it say that nothing was done")
+TEST_CASE("only statuses that prove it are decoded as nothing was done")
 {
-    // An operator sees a conflict for a change that is in force. A gateway before the platform answers 500 or 502 after
-    // the write has been carried out; taken for a refusal, the write would be given up or sent as a new one.
+    // Guards against reporting a conflict for a change that is in force: a gateway in front of the platform answers 500 or
+    // 502 after the write took effect; treated as a rejection, the write would be given up or sent as a new one.
     const Request write = TableWrite{};
     CHECK(decodeOutcome(write, 503, {}).error().code == ErrorCode::unavailable);
     CHECK(decodeOutcome(write, 429, {}).error().code == ErrorCode::rateLimited);
--- a/test/fakes/fake_platform_port.hpp
+++ b/test/fakes/fake_platform_port.hpp
@@ -11,51 +11,52 @@
 namespace fakes
 {
 
-/*! @brief What becomes of one request to a fake platform. */
-enum class Fate {
+/*! @brief Outcome of one request to a fake platform. */
+enum class ScriptedOutcome {
+    /*! @brief Applied and answered. */
     answered,
-    /*! @brief Carried out; the answer is lost. */
+    /*! @brief Applied, but the answer is lost. */
     answerLost,
-    /*! @brief Lost on the way. */
+    /*! @brief Lost before it reached the platform, and not applied. */
     requestLost,
-    /*! @brief Refused with 503. */
+    /*! @brief Refused with status 503, and not applied. */
     down,
 };
 
-/*! @brief A platform in memory whose failures are told in advance; waits take no time. */
+/*! @brief In-memory platform with scripted failures; waits return immediately. */
 class FakePlatformPort final : public egretlatch::cli::PlatformPort
 {
 public:
     /**
-     * @brief Builds a port.
-     * @param store The platform's state; must outlive the port.
-     * @param fates What becomes of the first requests; later ones are answered.
+     * @brief Constructs a port.
+     * @param store State of the platform; must outlive the port.
+     * @param outcomes Outcomes of the first requests, in order; later requests are answered.
      */
-    explicit FakePlatformPort(standin::PlatformStore &store, std::deque<Fate> fates = {})
+    explicit FakePlatformPort(standin::PlatformStore &store, std::deque<ScriptedOutcome> outcomes = {})
         : m_store{store}
-        , m_fates{std::move(fates)}
+        , m_scriptedOutcomes{std::move(outcomes)}
     {
     }
 
-    [[nodiscard]] egretlatch::store::Outcome ask(const egretlatch::store::Request &request) override
+    [[nodiscard]] egretlatch::store::Outcome send(const egretlatch::store::Request &request) override
     {
         using egretlatch::Error;
         using egretlatch::ErrorCode;
-        if (onAsk) {
-            onAsk(request);
+        if (beforeRequest) {
+            beforeRequest(request);
         }
-        const Fate fate = m_fates.empty() ? Fate::answered : m_fates.front();
-        if (!m_fates.empty()) {
-            m_fates.pop_front();
+        const ScriptedOutcome scripted = m_scriptedOutcomes.empty() ? ScriptedOutcome::answered : m_scriptedOutcomes.front();
+        if (!m_scriptedOutcomes.empty()) {
+            m_scriptedOutcomes.pop_front();
         }
-        if (fate == Fate::down) {
+        if (scripted == ScriptedOutcome::down) {
             return tl::unexpected{Error{ErrorCode::unavailable, "the platform is down"}};
         }
-        if (fate == Fate::requestLost) {
+        if (scripted == ScriptedOutcome::requestLost) {
             return tl::unexpected{Error{ErrorCode::timedOut, "the platform did not answer"}};
         }
         egretlatch::store::Outcome outcome = m_store.apply(request);
-        if (fate == Fate::answerLost) {
+        if (scripted == ScriptedOutcome::answerLost) {
             return tl::unexpected{Error{ErrorCode::timedOut, "the platform did not answer"}};
         }
         return outcome;
@@ -65,12 +66,12 @@
     {
     }
 
-    /*! @brief Called before each request, so that a test can let others act in between. */
-    std::function<void(const egretlatch::store::Request &)> onAsk;
+    /*! @brief Callback before each request, with which a test can interleave requests of other clients. */
+    std::function<void(const egretlatch::store::Request &)> beforeRequest;
 
 private:
     standin::PlatformStore &m_store;
-    std::deque<Fate> m_fates;
+    std::deque<ScriptedOutcome> m_scriptedOutcomes;
 };
 
 } // namespace fakes
